--- a/policy/admission/account.go
+++ b/policy/admission/account.go
@@ -7,58 +7,60 @@
 	"time"
 )
 
-// usageTime is the time constant of an account's and a class's recent work: some
-// service times of the usual request (2 s). At 2 s, one long request of a small
-// account counted as a flood.
-const usageTime = 10 * time.Second
+// usageTimeConstant is the time constant of the recent work of an account or a class. It
+// covers several service times of a typical request (2 s): with 2 s, one long request of
+// a small account would count as a flood.
+const usageTimeConstant = 10 * time.Second
 
-// decayed is a sum of work that fades with usageTime.
-type decayed struct {
+// decayingSum is a sum of work that decays exponentially with usageTimeConstant.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-func (d *decayed) value(now time.Time) float64 {
+func (d *decayingSum) value(now time.Time) float64 {
 	if d.sum == 0 {
 		return 0
 	}
-	return d.sum * math.Exp(-now.Sub(d.at).Seconds()/usageTime.Seconds())
+	return d.sum * math.Exp(-now.Sub(d.at).Seconds()/usageTimeConstant.Seconds())
 }
 
-func (d *decayed) add(now time.Time, work float64) {
+func (d *decayingSum) add(now time.Time, work float64) {
 	d.sum = max(d.value(now)+work, 0)
 	d.at = now
 }
 
-// rate is the work a second lately.
-func (d *decayed) rate(now time.Time) float64 {
-	return d.value(now) / usageTime.Seconds()
+// rate returns the recent work per second.
+func (d *decayingSum) rate(now time.Time) float64 {
+	return d.value(now) / usageTimeConstant.Seconds()
 }
 
-// waiting is an item in the queue.
-type waiting struct {
+// queuedItem is an item in the queue.
+type queuedItem struct {
 	Item
-	// key orders an account's items: arrival, set back by the expected length.
+	// key orders the items of an account. It is the arrival time plus the delay by
+	// Config.ShortFirst.
 	key time.Time
 }
 
-// account is one client account's part of the queue.
+// account is the part of the queue that belongs to one client account.
 type account struct {
 	name   string
 	weight float64
-	// tag is the virtual time at which its last started work is paid for.
-	tag float64
-	// usage is the work started lately.
-	usage decayed
-	// place is its index in the queue's backlog while it waits.
-	place  int
-	queues [classes][]*waiting
-	work   [classes]float64 // queued work a class
+	// finishTag is the virtual finish time of the account's last started item.
+	finishTag float64
+	// usage is the work started recently.
+	usage decayingSum
+	// backlogIndex is the index of the account in Queue.backlog while it has queued
+	// items.
+	backlogIndex int
+	queues       [classes][]*queuedItem
+	work         [classes]float64 // queued work per class
 }
 
-func (a *account) push(w *waiting) {
+func (a *account) push(w *queuedItem) {
 	q := a.queues[w.Class]
-	at, _ := slices.BinarySearchFunc(q, w, func(x, y *waiting) int {
+	at, _ := slices.BinarySearchFunc(q, w, func(x, y *queuedItem) int {
 		if c := x.key.Compare(y.key); c != 0 {
 			return c
 		}
@@ -68,8 +70,8 @@
 	a.work[w.Class] += w.Size
 }
 
-// remove takes the i-th item of a class out.
-func (a *account) remove(class, i int) *waiting {
+// remove removes and returns the i-th item of a class.
+func (a *account) remove(class, i int) *queuedItem {
 	w := a.queues[class][i]
 	a.queues[class] = slices.Delete(a.queues[class], i, i+1)
 	a.work[class] -= w.Size
@@ -87,9 +89,9 @@
 	return n
 }
 
-// ahead is the account's own work that is served before an item with that key,
-// and the number of its items.
-func (a *account) ahead(class int, key time.Time) (work float64, items int) {
+// workAhead returns the account's own work that is served before an item with the given
+// key, and the number of items in it.
+func (a *account) workAhead(class int, key time.Time) (work float64, items int) {
 	for _, w := range a.queues[class] {
 		if w.key.After(key) {
 			break
--- a/policy/admission/bench_test.go
+++ b/policy/admission/bench_test.go
@@ -9,13 +9,13 @@
 	"goldcrestfork/config"
 )
 
-// BenchmarkDecision is one item's way: offered, started, done, with that many
-// accounts and items waiting.
+// BenchmarkDecision measures the offer, start and completion of one item while other
+// accounts and items are queued.
 func BenchmarkDecision(b *testing.B) {
 	for _, accounts := range []int{10, 100} {
 		for _, waiting := range []int{0, 100, 1000, 4000} {
 			b.Run(fmt.Sprintf("accounts=%d/waiting=%d", accounts, waiting), func(b *testing.B) {
-				q := measured(1)
+				q := newMeasuredQueue(1)
 				next := uint64(0)
 				offer := func() {
 					next++
@@ -39,31 +39,31 @@
 	}
 }
 
-// BenchmarkCheck is the look through the queue, ten times a second.
+// BenchmarkCheck measures the scan of the queue, which runs ten times a second.
 func BenchmarkCheck(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			q := measured(1)
+			q := newMeasuredQueue(1)
 			for id := range uint64(waiting) {
 				q.Offer(start, item(id, fmt.Sprint("a", id%10), config.ClassInteractive, 1000*time.Hour))
 			}
 			now := start
 			for b.Loop() {
-				now = now.Add(checkEvery)
+				now = now.Add(checkInterval)
 				q.Refused(now)
 			}
 		})
 	}
 }
 
-// BenchmarkMemory reports the heap that waiting items hold, without what their
-// Value holds.
+// BenchmarkMemory reports the heap that queued items occupy, without the memory behind
+// their Value.
 func BenchmarkMemory(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				q := measured(1)
+				q := newMeasuredQueue(1)
 				for id := range uint64(waiting) {
 					q.Offer(start, item(id, "a", config.ClassInteractive, 1000*time.Hour))
 				}
--- a/policy/admission/choose.go
+++ b/policy/admission/choose.go
@@ -7,16 +7,16 @@
 	"goldcrestfork/config"
 )
 
-// choose finds the account and class whose first item is to start next: a class at
-// risk that is below its floor first, then the classes in order.
+// choose returns the account and class whose first item starts next. A class at risk that
+// is below its floor comes first, then the classes in order.
 func (q *Queue) choose(now time.Time) (a *account, class int, ok bool) {
 	all := q.est.rate(q.capacity)
 	fair := q.fairUsage(now)
 	for c := classes - 1; c > 0; c-- {
-		if !q.atRisk[c] || q.started[c].rate(now) >= floors[c]*all {
+		if !q.atRisk[c] || q.startedWork[c].rate(now) >= classFloors[c]*all {
 			continue
 		}
-		if a, ok = q.fairest(now, c, nobody); ok {
+		if a, ok = q.fairest(now, c, unlimitedUsage); ok {
 			return a, c, true
 		}
 	}
@@ -31,68 +31,68 @@
 	return nil, 0, false
 }
 
-// fairest returns the account with the least tag among those that wait in the class.
-// One that had more than the fair usage for its weight is passed over while only the
-// slots are free that it is to leave to the others.
+// fairest returns the account with the smallest finish tag among those with items in the
+// class. While only reserved slots are free, it skips accounts whose recent usage exceeds
+// the fair usage for their weight.
 func (q *Queue) fairest(now time.Time, class int, fair float64) (*account, bool) {
 	var best *account
-	last := q.running >= q.capacity-q.reserve()-q.immediateReserve(now)
+	onlyReserved := q.running >= q.capacity-q.reserve()-q.immediateReserve(now)
 	for _, a := range q.backlog {
-		if len(a.queues[class]) == 0 || last && q.overShare(now, a, fair) {
+		if len(a.queues[class]) == 0 || onlyReserved && q.overShare(now, a, fair) {
 			continue
 		}
-		if best == nil || a.tag < best.tag {
+		if best == nil || a.finishTag < best.finishTag {
 			best = a
 		}
 	}
 	return best, best != nil
 }
 
-// immediateReserve is the number of slots that lower classes leave free while
-// immediate requests come in. Without it, an immediate request waits for whatever
-// took the last slot, however long that is.
+// immediateReserve returns the number of slots that lower classes leave free while
+// immediate requests arrive. Without these slots an immediate request waits for whichever
+// request took the last slot, however long that runs.
 func (q *Queue) immediateReserve(now time.Time) int {
-	if q.started[config.ClassImmediate].rate(now) < immediateDemand*q.est.rate(q.capacity) {
+	if q.startedWork[config.ClassImmediate].rate(now) < minImmediateShare*q.est.rate(q.capacity) {
 		return 0
 	}
 	return int(q.cfg.ImmediateReserve*float64(q.capacity) + 0.5)
 }
 
-// reserve is the number of slots that accounts above their share leave free.
+// reserve returns the number of slots that accounts above their share leave free.
 func (q *Queue) reserve() int {
 	return min(int(q.cfg.Reserve*float64(q.capacity)+0.5), q.capacity-1)
 }
 
-// nobody is a fair usage that no account exceeds.
-var nobody = math.Inf(1)
+// unlimitedUsage is a fair usage that no account exceeds.
+var unlimitedUsage = math.Inf(1)
 
-// fairUsage is the recent work for each unit of weight above which an account has
-// more than its share, counted among the accounts that are active.
+// fairUsage returns the recent work per unit of weight above which an account exceeds its
+// share, computed over the active accounts.
 func (q *Queue) fairUsage(now time.Time) float64 {
-	if q.active == 0 {
-		return nobody
+	if q.activeWeight == 0 {
+		return unlimitedUsage
 	}
-	return shareSlack * q.usage.value(now) / q.active
+	return shareSlack * q.usage.value(now) / q.activeWeight
 }
 
-// overShare reports whether the account lately had more than its share of the work.
-// It never does alone.
+// overShare reports whether the account recently had more than its share of the work. An
+// account that is active alone never exceeds its share.
 func (q *Queue) overShare(now time.Time, a *account, fair float64) bool {
-	if a.weight >= q.active || a.usage.sum <= shareItems*q.est.size {
-		return false // sum is the usage before it faded, so an upper bound
+	if a.weight >= q.activeWeight || a.usage.sum <= shareAllowance*q.est.size {
+		return false // sum is the usage without decay since the last update, an upper bound
 	}
-	return a.usage.value(now)-shareItems*q.est.size > fair*a.weight
+	return a.usage.value(now)-shareAllowance*q.est.size > fair*a.weight
 }
 
-// activity sums the weights of the accounts that are active. An account that came up
-// since the last time, a tenth of a second ago at most, is missing; its share is
-// small by then.
-func (q *Queue) activity(now time.Time) {
-	least := usageFloor * q.est.size
-	q.active = 0
+// updateActiveWeight recomputes the sum of the weights of the active accounts. An account
+// that became active since the last run, at most a tenth of a second ago, is missing
+// until the next one; its usage is still small then.
+func (q *Queue) updateActiveWeight(now time.Time) {
+	least := idleUsage * q.est.size
+	q.activeWeight = 0
 	for _, a := range q.accounts {
 		if a.queued() > 0 || a.usage.value(now) > least {
-			q.active += a.weight
+			q.activeWeight += a.weight
 		}
 	}
 }
--- a/policy/admission/doc.go
+++ b/policy/admission/doc.go
@@ -1,33 +1,35 @@
-// Package admission decides which requests of a pool (a model version's or a
-// service's endpoints) run now, which wait, and which are refused.
+// Package admission decides which requests of a pool run now, which wait in a queue
+// and which are refused. A pool is the set of endpoints of one model version or one
+// service.
 //
-// Load patterns: a burst of ten times the usual load for some seconds; one account
-// that sends twenty times its share; long jobs among short ones; an overload of
-// twice the capacity for minutes, and its end; a pool that loses its endpoints.
+// The queue is designed for bursts of ten times the usual load for some seconds, one
+// account that sends twenty times its share, long jobs mixed with short ones, an
+// overload of twice the capacity that lasts minutes and then ends, and a pool that
+// loses its endpoints.
 //
-// Without it: a first-in-first-out queue fills until each request waits for longer
-// than a short deadline. At twice the capacity every endpoint is busy, but with
-// requests whose deadlines are long: 7% of immediate ones are completed, the others
-// are told nothing until they hang up, and their callers send them again
-// (docs/DECISIONS.md). One account's flood is everybody's queue, and a till lookup
-// waits for reports.
+// A first-in-first-out queue fails under these loads: it fills until every request
+// waits for longer than a short deadline. At twice the capacity all endpoints are busy
+// with requests that have long deadlines, only 7% of the immediate requests complete,
+// and the callers of the others get no answer, time out and send them again
+// (docs/DECISIONS.md). The flood of one account delays all accounts, and short
+// lookups wait behind long reports.
 //
-// How it decides:
+// The queue follows these rules:
 //
-//   - An item is refused when it can't be done by its deadline, at the moment that is
-//     known: on arrival from the backlog before it, in the queue as soon as the
-//     estimate says so. The refusal carries when to come back.
-//   - Classes are served in order, immediate first, and lower ones leave some slots
-//     free for it. A class whose items would miss their deadlines gets its floor of
-//     the work first.
-//   - Within a class, accounts share by weight (start-time fair queueing on expected
-//     work). An account that has more than its share leaves some slots free while
-//     others are active, so that theirs need not wait for its flood; with nobody else
-//     active it gets all there is.
-//   - Within an account, an item lets shorter ones pass that come within its own
-//     expected length.
+//   - An item that cannot complete by its deadline is refused as soon as this is known:
+//     on arrival, from the backlog ahead of it, or while it waits, when the estimate
+//     shows it. The refusal contains the time after which the caller may retry.
+//   - Classes are served in order, immediate first. Lower classes leave some slots free
+//     for immediate requests. A class whose items would miss their deadlines first gets
+//     its guaranteed minimum share of the work.
+//   - Within a class, accounts share the work by weight (start-time fair queueing on
+//     the expected work). While other accounts are active, an account above its share
+//     leaves some slots free, so that the others do not wait behind its backlog. An
+//     account that is active alone may use all slots.
+//   - Within an account, a shorter item overtakes an item if it arrives within the
+//     expected service time of that item.
 //
-// The queue counts slots (SetCapacity, Next, Done) but doesn't know endpoints.
+// The queue counts slots (SetCapacity, Next, Done) and has no knowledge of endpoints.
 //
 // Lock order: Queue.mu is a leaf.
 package admission
--- a/policy/admission/estimate.go
+++ b/policy/admission/estimate.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// timeGain is the weight of an answer in the running time per unit: the last
-	// fifty or so, a second's worth of a pool of 12 endpoints.
-	timeGain = 0.02
-	// unknownRate stands for a rate that was never measured: any backlog is done at once.
+	// estimateGain is the weight of one answer in the running service time per unit. It
+	// averages over about fifty answers, which a pool of 12 endpoints gives in a second.
+	estimateGain = 0.02
+	// unknownRate is the rate before the first answer. With it, any backlog counts as
+	// done at once.
 	unknownRate = 1e12
-	// maxSeconds bounds an estimate, so that it always fits a duration.
+	// maxSeconds bounds an estimate so that it fits a time.Duration.
 	maxSeconds = 24 * 3600.0
-	// marginDeviations is how many mean deviations an answer may take longer than
-	// expected and still be started: one, so that about four of five that are
-	// started at the last moment make it.
+	// marginDeviations is the safety margin of an expected service time, in mean absolute
+	// deviations. With one deviation, about four of five items that start at the last
+	// moment meet their deadline.
 	marginDeviations = 1.0
 )
 
-// estimator measures how long a unit of work takes while the pool is in use.
-// Until the first answer it knows nothing, unless an assumption was set, takes every
-// item for instant, and refuses none for its deadline. The first answer replaces
-// an assumption whole.
+// estimator estimates the service time of a unit of work while the pool is in use. Until
+// the first answer, and without an assumed value, it treats every item as instantaneous,
+// so that no item is refused for its deadline. The first answer replaces the assumed
+// value entirely.
 type estimator struct {
 	answers   int
 	perUnit   float64 // running seconds per unit
@@ -27,14 +28,16 @@
 	size      float64 // running mean size of an item
 }
 
-func (e *estimator) learn(size float64, elapsed time.Duration) {
+// observeServiceTime updates the estimate with the service time of an item of the given
+// size.
+func (e *estimator) observeServiceTime(size float64, elapsed time.Duration) {
 	perUnit := elapsed.Seconds() / size
 	e.answers++
-	gain := max(timeGain, 1/float64(e.answers))
+	gain := max(estimateGain, 1/float64(e.answers))
 	off := perUnit - e.perUnit
 	e.perUnit += gain * off
 	if e.answers == 1 {
-		return // no deviation is known from one
+		return // one answer gives no deviation
 	}
 	if off < 0 {
 		off = -off
@@ -42,25 +45,28 @@
 	e.deviation += gain * (off - e.deviation)
 }
 
-func (e *estimator) seen(size float64) {
+// observeSize updates the mean size of an item.
+func (e *estimator) observeSize(size float64) {
 	if e.size == 0 {
 		e.size = size
 	}
-	e.size += timeGain * (size - e.size)
+	e.size += estimateGain * (size - e.size)
 }
 
-// service is how long an item of that size takes, with the margin.
-func (e *estimator) service(size float64) time.Duration {
+// serviceTime returns the expected service time of an item of the given size, including
+// the margin.
+func (e *estimator) serviceTime(size float64) time.Duration {
 	return seconds((e.perUnit + marginDeviations*e.deviation) * size)
 }
 
-// quickest is the time that an item of that size takes at least, give or take: half
-// of what is expected. Less time than that is hopeless even with nothing before it.
-func (e *estimator) quickest(size float64) time.Duration {
+// minServiceTime returns the approximate minimum service time of an item of the given
+// size: half of the expected one. An item with less time than this cannot complete, even
+// without a backlog.
+func (e *estimator) minServiceTime(size float64) time.Duration {
 	return seconds(e.perUnit * size / 2)
 }
 
-// rate is the work a second that so many slots do.
+// rate returns the work per second of the given number of slots.
 func (e *estimator) rate(slots int) float64 {
 	if e.perUnit == 0 {
 		return unknownRate
@@ -72,37 +78,38 @@
 	return time.Duration(min(max(s, 0), maxSeconds) * float64(time.Second))
 }
 
-// classRate is the work a second that a class gets: what higher classes leave,
-// but not less than its floor.
+// classRate returns the work per second that a class gets: the rest that higher classes
+// leave, and at least its floor.
 func (q *Queue) classRate(now time.Time, class int) float64 {
 	all := q.est.rate(q.capacity)
 	left := all
 	for c := range class {
-		left -= q.started[c].rate(now)
+		left -= q.startedWork[c].rate(now)
 	}
-	return max(left, floors[class]*all)
+	return max(left, classFloors[class]*all)
 }
 
-// outlook is what an item of a class has before it, worked out once for all of them.
-type outlook struct {
-	rate    float64 // work a second that the class gets
-	above   float64 // work that waits in higher classes
-	work    float64 // work that waits in the class
-	weights float64 // of the accounts that wait in the class
+// classBacklog is the backlog ahead of the items of one class. It is computed once for
+// all of them.
+type classBacklog struct {
+	rate       float64 // work per second that the class gets
+	higherWork float64 // queued work of higher classes
+	work       float64 // queued work of the class
+	weights    float64 // sum of the weights of accounts with items in the class
 }
 
-func (q *Queue) outlook(now time.Time, class int) outlook {
-	o := outlook{rate: q.classRate(now, class), work: q.work[class], weights: q.weights[class]}
+func (q *Queue) classBacklog(now time.Time, class int) classBacklog {
+	o := classBacklog{rate: q.classRate(now, class), work: q.queuedWork[class], weights: q.waitingWeights[class]}
 	for c := range class {
-		o.above += q.work[c]
+		o.higherWork += q.queuedWork[c]
 	}
 	return o
 }
 
-// wait is how long an item waits that has `own` work of its account before it.
-// Fair queueing bounds it in two ways: by all that waits in its class and above,
-// and by its own account's backlog at the account's share.
-func (o outlook) wait(a *account, class int, own float64) time.Duration {
+// waitTime returns the waiting time of an item that has `own` work of its own account
+// ahead of it. Fair queueing bounds it by all work queued in its class and the classes
+// above, and by its own account's backlog at the rate of the account's share.
+func (o classBacklog) waitTime(a *account, class int, own float64) time.Duration {
 	if o.rate <= 0 {
 		return seconds(maxSeconds)
 	}
@@ -111,6 +118,6 @@
 		weights += a.weight
 	}
 	fair := own * weights / a.weight
-	// What waits above is served first, but for the floor that classRate holds.
-	return seconds((min(fair, o.work) + o.above) / o.rate)
+	// Higher classes are served first, apart from the floor that classRate guarantees.
+	return seconds((min(fair, o.work) + o.higherWork) / o.rate)
 }
--- a/policy/admission/example_test.go
+++ b/policy/admission/example_test.go
@@ -9,8 +9,9 @@
 	"goldcrestfork/policy/admission"
 )
 
-// A pool with one free slot gets three requests: the first runs, the second waits,
-// the third can't be done by its deadline and is told when to come back.
+// A pool with one free slot receives three requests. The first runs, the second is
+// queued, and the third is refused with a retry time since it cannot complete by its
+// deadline.
 func Example() {
 	now := time.Unix(0, 0)
 	q := admission.New(admission.Config{SecondsPerUnit: 1}, rand.New(rand.NewPCG(1, 0)))
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	// checkEvery is the time between two looks through the queue for items that
-	// can't be done any more: a tenth of the shortest deadline, a till lookup's second.
-	checkEvery = 100 * time.Millisecond
-	// offerPart and checkPart are the parts of the estimated wait that an item must
-	// have time for: more than all of it on arrival, since shorter and more urgent
-	// items will still pass it, and less once it was accepted, so that an estimate
-	// that is a little off doesn't refuse what waited already. Measured at 1.2, 1.6, 2
-	// and 3: at 1.6, half as many are refused late as at 1.2 at twice the capacity
-	// (cluj), at the same goodput; above it, deferrable requests are lost in a burst.
-	offerPart = 1.6
-	checkPart = 0.8
-	// shareSlack is how far above its share an account may be before it counts as hot,
-	// and shareItems are mean items that it may have had besides: a small account's
-	// one long request is no flood.
-	shareSlack = 1.5
-	shareItems = 2.0
-	// immediateDemand is the part of the work that immediate requests must make up
-	// for slots to be kept for them: one in fifty.
-	immediateDemand = 0.02
-	// usageFloor is the work below which an account counts as idle, in mean items.
-	usageFloor = 0.05
+	// checkInterval is the time between two scans of the queue for items that can no
+	// longer meet their deadline. It is a tenth of the shortest deadline, which is one
+	// second for short lookups.
+	checkInterval = 100 * time.Millisecond
+	// offerWaitFactor and checkWaitFactor are the multiples of the estimated waiting time
+	// that an item must have left. The factor on arrival is above one, since shorter and
+	// more urgent items will still overtake the item. The factor after acceptance is
+	// below one, so that a small error of the estimate does not refuse an item that has
+	// already waited. With 1.6, half as many items are refused late as with 1.2 at twice
+	// the capacity, at the same goodput; with higher values (2 or 3), deferrable requests
+	// are lost in a burst.
+	offerWaitFactor = 1.6
+	checkWaitFactor = 0.8
+	// shareSlack is the factor by which an account may exceed its share before it counts
+	// as hot. shareAllowance is an additional allowance in mean items, so that one long
+	// request does not make a small account hot.
+	shareSlack     = 1.5
+	shareAllowance = 2.0
+	// minImmediateShare is the share of the work, one in fifty, that immediate requests
+	// must make up before slots are reserved for them.
+	minImmediateShare = 0.02
+	// idleUsage is the recent work, in mean items, below which an account counts as idle.
+	idleUsage = 0.05
 )
 
-// Queue is the admission of one pool on one VM. It is safe for concurrent use.
+// Queue is the admission queue of one pool on one VM. It is safe for concurrent use.
 type Queue struct {
 	mu       sync.Mutex
 	cfg      Config
 	rng      *rand.Rand
 	capacity int
 	running  int
-	count    int // queued items
+	queued   int
 	accounts map[string]*account
-	// backlog holds the accounts that wait, in an order that depends on the calls
-	// alone, so that a run is repeatable.
+	// backlog holds the accounts with queued items. Its order depends only on the
+	// sequence of calls, so that a run is reproducible.
 	backlog []*account
-	// usage is the work started lately of all accounts, active the weights of those
-	// that have some or wait; active is brought up to date by check.
-	usage   decayed
-	active  float64
-	virtual float64 // start tag of the last started item
-	started [classes]decayed
-	work    [classes]float64 // queued work
-	weights [classes]float64 // sum of weights of accounts that wait in the class
-	atRisk  [classes]bool    // items of the class would miss their deadlines
-	est     estimator
-	returns calendar
-	refused []Refusal
-	checked time.Time
+	// usage is the recently started work of all accounts. activeWeight is the sum of the
+	// weights of accounts that have recent usage or queued items; check updates it.
+	usage          decayingSum
+	activeWeight   float64
+	virtualTime    float64 // start tag of the last started item
+	startedWork    [classes]decayingSum
+	queuedWork     [classes]float64 // per class
+	waitingWeights [classes]float64 // sum of the weights of accounts with items in the class
+	atRisk         [classes]bool    // whether items of the class would miss their deadlines
+	est            estimator
+	retries        retrySchedule
+	refused        []Refusal
+	lastCheck      time.Time
 }
 
-// New returns a queue without capacity. The rng spreads Retry-After; the queue owns it.
+// New returns a queue with capacity 0. The queue owns rng and uses it to add jitter to
+// Retry-After times.
 func New(cfg Config, rng *rand.Rand) *Queue {
 	cfg = cfg.withDefaults()
 	return &Queue{
@@ -68,18 +71,18 @@
 	}
 }
 
-// SetCapacity sets how many items may run at once. At 0 everything that waits is
-// refused: nobody knows when there will be an endpoint again.
+// SetCapacity sets the number of items that may run at once. With 0, all queued items are
+// refused, since the time at which an endpoint returns is unknown.
 func (q *Queue) SetCapacity(now time.Time, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.capacity = max(slots, 0)
-	if q.capacity == 0 && q.count > 0 {
+	if q.capacity == 0 && q.queued > 0 {
 		q.refuseAll(now, ReasonNoCapacity)
 	}
 }
 
-// Offer hands in an item.
+// Offer submits an item and returns whether it runs now, is queued or is refused.
 func (q *Queue) Offer(now time.Time, it Item) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,15 +90,15 @@
 		it.Size = 1
 	}
 	a := q.account(it)
-	q.est.seen(it.Size)
+	q.est.observeSize(it.Size)
 	if q.capacity == 0 {
 		return q.verdict(now, it, ReasonNoCapacity, 0)
 	}
-	w := &waiting{Item: it, key: now.Add(seconds(q.cfg.ShortFirst * q.est.perUnit * it.Size))}
-	if late := q.late(now, a, w); late > 0 {
+	w := &queuedItem{Item: it, key: now.Add(seconds(q.cfg.ShortFirst * q.est.perUnit * it.Size))}
+	if late := q.lateness(now, a, w); late > 0 {
 		return q.verdict(now, it, ReasonDeadline, late)
 	}
-	if q.count >= q.cfg.MaxItems && !q.evict(now, a) {
+	if q.queued >= q.cfg.MaxItems && !q.evict(now, a) {
 		return q.verdict(now, it, ReasonFull, q.drainTime())
 	}
 	q.push(a, w)
@@ -108,17 +111,18 @@
 	return Verdict{Outcome: Queued}
 }
 
-// Next returns the item to run in a free slot, if there is one and something waits.
+// Next returns the next item to run. It returns false if no slot is free or no queued
+// item may start.
 func (q *Queue) Next(now time.Time) (Item, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for q.running < q.capacity && q.count > 0 {
+	for q.running < q.capacity && q.queued > 0 {
 		a, class, ok := q.choose(now)
 		if !ok {
 			return Item{}, false
 		}
 		w := a.queues[class][0]
-		if now.Add(q.est.service(w.Size)).After(w.Deadline) {
+		if now.Add(q.est.serviceTime(w.Size)).After(w.Deadline) {
 			q.take(a, class, 0)
 			q.refuse(now, w.Item, ReasonDeadline, 0)
 			continue
@@ -129,8 +133,8 @@
 	return Item{}, false
 }
 
-// Done frees the slot of an item that ran. Elapsed is its service time; 0 when it
-// failed and tells nothing. Actual is the work it took, 0 if not known.
+// Done frees the slot of an item that ran. elapsed is its service time, or 0 if the item
+// failed and its time has no meaning. actual is the work that it took, or 0 if unknown.
 func (q *Queue) Done(now time.Time, it Item, elapsed time.Duration, actual float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -139,16 +143,16 @@
 		it.Size = 1
 	}
 	if elapsed > 0 {
-		q.est.learn(it.Size, elapsed)
+		q.est.observeServiceTime(it.Size, elapsed)
 	}
 	if a := q.accounts[it.Account]; a != nil && actual > 0 {
-		// The account pays for what it took, not for what was expected.
-		a.tag += (actual - it.Size) / a.weight
+		// The account is charged for the actual work instead of the expected work.
+		a.finishTag += (actual - it.Size) / a.weight
 	}
 }
 
-// PutBack frees the slot of an item that found no endpoint, or that is retried
-// later, and queues it again at the head of its account's items.
+// PutBack frees the slot of an item that found no endpoint or is to be retried later, and
+// queues it again ahead of its account's other items.
 func (q *Queue) PutBack(now time.Time, it Item) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -157,18 +161,19 @@
 		it.Size = 1
 	}
 	a := q.account(it)
-	a.tag -= it.Size / a.weight
+	a.finishTag -= it.Size / a.weight
 	a.usage.add(now, -it.Size)
 	q.usage.add(now, -it.Size)
-	q.started[it.Class].add(now, -it.Size)
+	q.startedWork[it.Class].add(now, -it.Size)
 	if q.capacity == 0 {
 		q.refuse(now, it, ReasonNoCapacity, 0)
 		return
 	}
-	q.push(a, &waiting{Item: it, key: time.Time{}})
+	q.push(a, &queuedItem{Item: it, key: time.Time{}})
 }
 
-// Remove takes an item out of the queue whose caller has gone away.
+// Remove removes a queued item whose caller has disconnected. It reports whether the item
+// was queued.
 func (q *Queue) Remove(it Item) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -185,13 +190,13 @@
 	return false
 }
 
-// Refused returns the final answers that became known since the last call. Call it
-// after each other call, and every 100 ms while anything waits.
+// Refused returns the refusals of queued items since the last call. It is to be called
+// after each other call, and every 100 ms while items are queued.
 func (q *Queue) Refused(now time.Time) []Refusal {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.checked) >= checkEvery {
-		q.checked = now
+	if now.Sub(q.lastCheck) >= checkInterval {
+		q.lastCheck = now
 		q.check(now)
 	}
 	out := q.refused
@@ -199,22 +204,22 @@
 	return out
 }
 
-// Expected is how long an item of that size takes once it runs, with a margin of
-// one mean deviation.
+// Expected returns the expected service time of an item of the given size, with a margin
+// of one mean absolute deviation.
 func (q *Queue) Expected(size float64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.est.service(size)
+	return q.est.serviceTime(size)
 }
 
-// Len returns how many items wait and how many run.
+// Len returns the numbers of queued and running items.
 func (q *Queue) Len() (waiting, running int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.count, q.running
+	return q.queued, q.running
 }
 
-// Forget drops an account that configuration no longer has, once nothing of it waits.
+// Forget removes an account that is no longer configured, unless it has queued items.
 func (q *Queue) Forget(name string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -225,6 +230,7 @@
 	delete(q.accounts, name)
 }
 
+// account returns the item's account and creates it if necessary.
 func (q *Queue) account(it Item) *account {
 	weight := it.Weight
 	if weight <= 0 {
@@ -236,57 +242,58 @@
 		q.accounts[it.Account] = a
 	}
 	if a.weight != weight && a.queued() == 0 {
-		// A changed weight counts from the next time that nothing of the account waits,
-		// so that the sums of weights stay right.
+		// A changed weight takes effect once the account has no queued items, so that the
+		// sums of weights stay consistent.
 		a.weight = weight
 	}
 	return a
 }
 
-// push queues an item.
-func (q *Queue) push(a *account, w *waiting) {
+// push adds an item to its account's queue.
+func (q *Queue) push(a *account, w *queuedItem) {
 	if a.queued() == 0 {
-		a.place = len(q.backlog)
+		a.backlogIndex = len(q.backlog)
 		q.backlog = append(q.backlog, a)
 	}
 	if len(a.queues[w.Class]) == 0 {
-		q.weights[w.Class] += a.weight
+		q.waitingWeights[w.Class] += a.weight
 	}
 	a.push(w)
-	q.work[w.Class] += w.Size
-	q.count++
+	q.queuedWork[w.Class] += w.Size
+	q.queued++
 }
 
-// take takes an item out of the queue.
-func (q *Queue) take(a *account, class, i int) *waiting {
+// take removes and returns the i-th item of an account and class.
+func (q *Queue) take(a *account, class, i int) *queuedItem {
 	w := a.remove(class, i)
-	q.work[class] -= w.Size
-	q.count--
+	q.queuedWork[class] -= w.Size
+	q.queued--
 	if len(a.queues[class]) == 0 {
-		q.weights[class] -= a.weight
+		q.waitingWeights[class] -= a.weight
 	}
 	if a.queued() == 0 {
 		last := q.backlog[len(q.backlog)-1]
-		q.backlog[a.place] = last
-		last.place = a.place
+		q.backlog[a.backlogIndex] = last
+		last.backlogIndex = a.backlogIndex
 		q.backlog = q.backlog[:len(q.backlog)-1]
 	}
-	if q.count == 0 {
-		// Sums of floats drift; an empty queue is the time to put them right.
-		q.work = [classes]float64{}
-		q.weights = [classes]float64{}
+	if q.queued == 0 {
+		// Floating-point sums accumulate rounding errors, so they are reset when the
+		// queue is empty.
+		q.queuedWork = [classes]float64{}
+		q.waitingWeights = [classes]float64{}
 	}
 	return w
 }
 
-// start takes an account's first item into a slot and charges the account.
+// start moves an account's first item into a slot and charges the account.
 func (q *Queue) start(now time.Time, a *account, class int) {
 	w := q.take(a, class, 0)
-	begin := max(q.virtual, a.tag)
-	q.virtual = begin
-	a.tag = begin + w.Size/a.weight
+	begin := max(q.virtualTime, a.finishTag)
+	q.virtualTime = begin
+	a.finishTag = begin + w.Size/a.weight
 	a.usage.add(now, w.Size)
 	q.usage.add(now, w.Size)
-	q.started[class].add(now, w.Size)
+	q.startedWork[class].add(now, w.Size)
 	q.running++
 }
--- a/policy/admission/queue_test.go
+++ b/policy/admission/queue_test.go
@@ -18,8 +18,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// measured returns a queue that knows that a unit of work takes a second.
-func measured(slots int) *Queue {
+// newMeasuredQueue returns a queue whose estimated service time is one second per unit.
+func newMeasuredQueue(slots int) *Queue {
 	q := New(Config{}, rand.New(rand.NewPCG(seed, 0)))
 	q.SetCapacity(start, 1)
 	it := item(0, "warm-up", config.ClassImmediate, time.Hour)
@@ -34,10 +34,10 @@
 	return Item{ID: id, Account: account, Weight: 1, Class: class, Deadline: start.Add(within), Size: 1}
 }
 
-// TestWeights: two accounts wait; each slot that frees goes to the one that had
-// less for its weight.
+// TestWeights checks that two accounts with queued items get slots in proportion to their
+// weights.
 func TestWeights(t *testing.T) {
-	q := measured(1)
+	q := newMeasuredQueue(1)
 	for id := range uint64(80) {
 		it := item(id, fmt.Sprint("a", id%2), config.ClassInteractive, time.Hour)
 		it.Weight = float64(1 + 2*(id%2))
@@ -53,8 +53,8 @@
 	require.InDelta(t, 30, got["a1"], 1)
 }
 
-// TestOrder: what starts first when one slot frees.
-func TestOrder(t *testing.T) {
+// TestStartOrder checks which queued item starts when a slot becomes free.
+func TestStartOrder(t *testing.T) {
 	cases := []struct {
 		name  string
 		items []Item
@@ -65,18 +65,18 @@
 			item(2, "b", config.ClassInteractive, time.Hour),
 			item(3, "c", config.ClassImmediate, time.Hour),
 		}, 3},
-		{"short passes long of its account", []Item{
+		{"short overtakes long of its account", []Item{
 			sized(item(1, "a", config.ClassInteractive, time.Hour), 20),
 			sized(item(2, "a", config.ClassInteractive, time.Hour), 1),
 		}, 2},
-		{"one account's second waits for another's first", []Item{
+		{"another account before the running account", []Item{
 			item(1, "running", config.ClassInteractive, time.Hour),
 			item(2, "b", config.ClassInteractive, time.Hour),
 		}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			q := measured(1)
+			q := newMeasuredQueue(1)
 			first := sized(item(99, "running", config.ClassInteractive, time.Hour), 5)
 			require.Equal(t, Run, q.Offer(start, first).Outcome)
 			for _, it := range c.items {
@@ -95,13 +95,13 @@
 	return it
 }
 
-// TestReserves: who may take the last free slots of ten, while two accounts are
-// active and one of them had nearly all of the work lately.
+// TestReserves checks which requests may take the last free slots of ten while two
+// accounts are active and one of them did nearly all of the recent work.
 func TestReserves(t *testing.T) {
 	cases := []struct {
 		account string
 		class   config.Class
-		running int // the most that may run already
+		running int // maximum number of running requests beside which it starts
 	}{
 		{"quiet", config.ClassImmediate, 9},
 		{"quiet", config.ClassInteractive, 8},
@@ -109,7 +109,7 @@
 	}
 	for _, c := range cases {
 		for running := 5; running < 10; running++ {
-			q := measured(10)
+			q := newMeasuredQueue(10)
 			for id := range uint64(60) {
 				account := "hot"
 				if id%20 == 0 {
@@ -119,7 +119,7 @@
 				q.Offer(start, it)
 				q.Done(start, it, 0, 0)
 			}
-			q.Refused(start.Add(checkEvery))
+			q.Refused(start.Add(checkInterval))
 			for id := range uint64(running) {
 				q.SetCapacity(start, 1000)
 				require.Equal(t, Run, q.Offer(start, item(100+id, "quiet", config.ClassImmediate, time.Hour)).Outcome)
@@ -131,10 +131,10 @@
 	}
 }
 
-// TestDeferrableFloor: immediate requests of ten accounts keep
-// coming for longer than a deferrable one may wait; it starts in time all the same.
+// TestDeferrableFloor guards against starvation: immediate requests of ten accounts
+// arrive for longer than a deferrable request may wait, which must still start in time.
 func TestDeferrableFloor(t *testing.T) {
-	q := measured(1)
+	q := newMeasuredQueue(1)
 	now := start
 	flood := func(id uint64) Item {
 		return item(id, fmt.Sprint("flood", id%10), config.ClassImmediate, time.Hour)
@@ -155,11 +155,11 @@
 	t.Fatal("the deferrable item never started")
 }
 
-// TestRefusedAtOnce: a caller that can't be served is told on arrival, or the moment
-// it becomes clear, and told when to come back.
-func TestRefusedAtOnce(t *testing.T) {
+// TestRefusedAsSoonAsKnown checks that a request that cannot complete is refused on
+// arrival, or as soon as this becomes known, with a retry time.
+func TestRefusedAsSoonAsKnown(t *testing.T) {
 	t.Run("on arrival, behind the backlog", func(t *testing.T) {
-		q := measured(1)
+		q := newMeasuredQueue(1)
 		for id := range uint64(30) {
 			q.Offer(start, item(id, "a", config.ClassInteractive, time.Minute))
 		}
@@ -169,7 +169,7 @@
 		require.Greater(t, v.RetryAfter, 10*time.Second)
 	})
 	t.Run("no endpoint left", func(t *testing.T) {
-		q := measured(1)
+		q := newMeasuredQueue(1)
 		q.Offer(start, item(1, "a", config.ClassInteractive, time.Minute))
 		q.Offer(start, item(2, "a", config.ClassInteractive, time.Minute))
 		q.SetCapacity(start, 0)
@@ -180,7 +180,7 @@
 		require.Equal(t, ReasonNoCapacity, q.Offer(start, item(3, "a", 0, time.Minute)).Reason)
 	})
 	t.Run("endpoints became slow", func(t *testing.T) {
-		q := measured(1)
+		q := newMeasuredQueue(1)
 		for id := range uint64(20) {
 			q.Offer(start, item(id, "a", config.ClassInteractive, 30*time.Second))
 		}
@@ -188,28 +188,29 @@
 		q.Done(now, item(0, "a", config.ClassInteractive, 0), 10*time.Second, 0)
 		require.NotEmpty(t, q.Refused(now))
 	})
-	t.Run("it would push out what was accepted", func(t *testing.T) {
-		q := measured(1)
+	t.Run("it would make an accepted item late", func(t *testing.T) {
+		q := newMeasuredQueue(1)
 		q.Offer(start, item(1, "a", config.ClassInteractive, time.Hour))
 		long := sized(item(2, "a", config.ClassInteractive, 25*time.Second), 20)
 		require.Equal(t, Queued, q.Offer(start, long).Outcome)
 		short := sized(item(3, "a", config.ClassInteractive, time.Minute), 8)
 		require.Equal(t, Refused, q.Offer(start, short).Outcome)
 	})
-	t.Run("an idle pool tries in spite of its estimate", func(t *testing.T) {
-		q := measured(1)
+	t.Run("an idle pool accepts despite its estimate", func(t *testing.T) {
+		q := newMeasuredQueue(1)
 		require.Equal(t, Run, q.Offer(start, sized(item(1, "a", 0, time.Second), 100)).Outcome)
 	})
-	t.Run("nothing is measured yet", func(t *testing.T) {
+	t.Run("no answer yet", func(t *testing.T) {
 		q := New(Config{}, rand.New(rand.NewPCG(seed, 0)))
 		q.SetCapacity(start, 1)
 		require.Equal(t, Run, q.Offer(start, sized(item(1, "a", 0, time.Second), 4096)).Outcome)
 	})
 }
 
-// TestRetryAfterSpread: callers refused in one instant are not sent back in one.
+// TestRetryAfterSpread checks that callers refused at the same moment get retry times
+// that are spread out.
 func TestRetryAfterSpread(t *testing.T) {
-	q := measured(4)
+	q := newMeasuredQueue(4)
 	for id := range uint64(100) {
 		q.Offer(start, item(id, "a", config.ClassInteractive, 20*time.Second))
 	}
@@ -221,11 +222,11 @@
 		perSecond[int(v.RetryAfter.Seconds())]++
 	}
 	for _, n := range perSecond {
-		require.LessOrEqual(t, n, 4, "a second's work of all slots at most")
+		require.LessOrEqual(t, n, 4, "at most the work of all slots in one second")
 	}
 }
 
-// lowest returns the item with the lowest id, so that a failing case can be replayed.
+// lowest returns the item with the lowest ID, so that a failing case can be replayed.
 func lowest(items map[uint64]Item) (Item, bool) {
 	ids := slices.Sorted(maps.Keys(items))
 	if len(ids) == 0 {
@@ -234,8 +235,8 @@
 	return items[ids[0]], true
 }
 
-// TestEachItemEndsOnce: whatever is called, an item ends as run, refused or removed,
-// exactly once, and no more run than there are slots.
+// TestEachItemEndsOnce checks that under any sequence of calls each item is run, refused
+// or removed exactly once, and that no more items run than there are slots.
 func TestEachItemEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{MaxItems: 8}, rand.New(rand.NewPCG(seed, 0)))
