--- a/policy/picker/candidates.go
+++ b/policy/picker/candidates.go
@@ -5,20 +5,23 @@
 )
 
 const (
-	// nearDraws and nextDraws are the random candidates from the nearest tier with
-	// room and from the one after it. Two are what breaks up herds; the third lets
-	// work go further away while the near endpoints fill up.
-	nearDraws = 2
-	nextDraws = 1
-	// drawTries bounds the draws that request filters may turn down; after them the
-	// set is walked, so that a request is never refused while some endpoint would do.
-	drawTries = 6
-	// ringWalk is the number of ring points looked at for endpoints with room: past a
-	// full one the prefix goes to the next, the same on all VMs, and so a hot key
-	// spreads by one endpoint at a time.
-	ringWalk = 4
+	// nearestTierDraws and nextTierDraws are the numbers of random candidates from the
+	// nearest tier with free capacity and from the tier after it. Two candidates from the
+	// same tier prevent herding; the third lets work move further away while the near
+	// endpoints fill up.
+	nearestTierDraws = 2
+	nextTierDraws    = 1
+	// maxDrawTries bounds the random draws that request filters may reject. After them
+	// the set is scanned, so that a request is never refused while an allowed endpoint
+	// has free capacity.
+	maxDrawTries = 6
+	// maxRingSteps is the number of ring points examined for endpoints with free
+	// capacity. A prefix whose endpoint is full moves to the next one, which is the same
+	// on all VMs, so that a hot prefix spreads by one endpoint at a time.
+	maxRingSteps = 4
 )
 
+// allow reports whether all request filters allow the endpoint.
 func (t *Table) allow(r *Request, e *Endpoint) bool {
 	for _, f := range t.cfg.Request {
 		if !f.Allow(r, e) {
@@ -28,20 +31,20 @@
 	return true
 }
 
-// add takes an endpoint in as a candidate, once, with its best hit.
+// add adds an endpoint to the candidates once, with its highest hit.
 func (t *Table) add(e *Endpoint, hit float64) {
-	for i := range t.cands {
-		if t.cands[i].Endpoint == e {
-			t.cands[i].Hit = max(t.cands[i].Hit, hit)
+	for i := range t.candidates {
+		if t.candidates[i].Endpoint == e {
+			t.candidates[i].Hit = max(t.candidates[i].Hit, hit)
 			return
 		}
 	}
-	t.cands = append(t.cands, Candidate{Endpoint: e, Hit: hit})
+	t.candidates = append(t.candidates, Candidate{Endpoint: e, Hit: hit})
 }
 
-// addHolders adds the endpoints that likely hold the request's prefix, the longest
-// part first, and those that the ring names for it.
-func (t *Table) addHolders(p *pool, r *Request) {
+// addPrefixHolders adds the endpoints that likely hold the request's prefix, starting
+// from its longest part, and the endpoint that the ring assigns to it.
+func (t *Table) addPrefixHolders(p *pool, r *Request) {
 	for i := len(r.Prefix) - 1; i >= 0; i-- {
 		entry, ok := t.prefixes.entries.Get(r.Prefix[i])
 		if !ok {
@@ -58,31 +61,32 @@
 		}
 	}
 	steps := 0
-	// The first block's hash: requests that share only the start of their prompt
-	// still meet on one endpoint.
+	// The ring is looked up by the hash of the first block, so that requests which share
+	// only the start of their prompt still reach the same endpoint.
 	p.ring.walk(r.Prefix[0], func(e *Endpoint) bool {
 		steps++
 		if t.usable(p, r, e) {
-			t.add(e, derived)
+			t.add(e, ringConfidence)
 			return false
 		}
-		return steps < ringWalk
+		return steps < maxRingSteps
 	})
 }
 
-// usable reports whether the endpoint is in the pool's open set and allowed.
+// usable reports whether the endpoint is in the pool's open set and allowed for the
+// request.
 func (t *Table) usable(p *pool, r *Request, e *Endpoint) bool {
 	for i, own := range e.pools {
 		if own == p {
-			return e.position[i] >= 0 && t.allow(r, e)
+			return e.openIndex[i] >= 0 && t.allow(r, e)
 		}
 	}
 	return false
 }
 
-// addRandom draws candidates from the two nearest tiers with room.
+// addRandom draws candidates from the two nearest tiers with free capacity.
 func (t *Table) addRandom(p *pool, rng *rand.Rand, r *Request) {
-	draws := nearDraws
+	draws := nearestTierDraws
 	for tier := range p.open {
 		set := p.open[tier]
 		if len(set) == 0 {
@@ -91,16 +95,18 @@
 		if t.draw(set, rng, r, draws) == 0 && !t.walk(set, rng, r) {
 			continue
 		}
-		if draws == nextDraws {
+		if draws == nextTierDraws {
 			return
 		}
-		draws = nextDraws
+		draws = nextTierDraws
 	}
 }
 
+// draw adds up to `want` random candidates of the set and returns how many draws were
+// allowed.
 func (t *Table) draw(set []*Endpoint, rng *rand.Rand, r *Request, want int) int {
 	found := 0
-	for range drawTries {
+	for range maxDrawTries {
 		e := set[rng.IntN(len(set))]
 		if !t.allow(r, e) {
 			continue
@@ -114,7 +120,8 @@
 	return found
 }
 
-// walk takes the first allowed endpoint from a random start.
+// walk adds the first allowed endpoint, starting at a random index, and reports whether
+// there is one.
 func (t *Table) walk(set []*Endpoint, rng *rand.Rand, r *Request) bool {
 	start := rng.IntN(len(set))
 	for i := range set {
--- a/policy/picker/doc.go
+++ b/policy/picker/doc.go
@@ -1,25 +1,26 @@
-// Package picker chooses the endpoint that a request is sent to.
+// Package picker chooses the endpoint to which a request is sent.
 //
-// Load pattern: seven VMs decide apart on load reports that are two seconds old;
-// many requests share a prompt prefix that few endpoints hold in their cache; the
-// prefix of the hour (a hot key) is asked for more than one endpoint bears.
+// The choice is made by each of seven VMs on its own, from load reports that are up to
+// two seconds old. Many requests share a prompt prefix that few endpoints have in their
+// cache, and a hot prefix may receive more requests than one endpoint can serve.
 //
-// Without it: VMs that all send to the endpoint with the least reported load fill
-// the same one until the next report (herding); round robin computes each prefix
-// on each endpoint; strict affinity puts a hot key's whole load on one.
+// Simpler methods fail under these conditions. If all VMs send to the endpoint with the
+// least reported load, they all fill the same one until the next report (herding).
+// Round robin computes each prefix on every endpoint. Strict affinity sends the whole
+// load of a hot prefix to one endpoint.
 //
-// A choice is made in three steps, each a plugin: filters drop what may not be
-// used, scorers rate what is left from 0 to 1, and the picker takes the best of a
-// few candidates: two drawn at random from the nearest tier with room, one drawn
-// from the next, and the endpoints likely to hold the prefix. Nothing scans the
-// pool: endpoints that have room are kept in dense sets by version and tier,
-// which change by one entry when a slot is taken or freed.
+// A choice has three steps, each implemented by plugins. Filters exclude endpoints that
+// must not be used, scorers rate the remaining ones from 0 to 1, and the picker takes
+// the best of a few candidates: two drawn at random from the nearest tier with free capacity,
+// one drawn from the next tier, and the endpoints that are likely to hold the prefix.
+// No step scans the pool: endpoints with free capacity are kept in dense sets by version and
+// tier, which change by one entry when a slot is taken or freed.
 //
-// A version that an endpoint does not serve is never a candidate, since pools are
-// indexed by version. State (leaving, data centre out, ejected, full) is checked
-// when it changes and keeps an endpoint out of the sets; what depends on the
-// request is checked for each candidate.
+// Pools are indexed by version, so an endpoint that does not serve a version is never a
+// candidate for it. State (leaving, data centre out, ejected, full) is checked when it
+// changes and removes an endpoint from the sets. Conditions that depend on the request
+// are checked for each candidate.
 //
-// Lock order: Table.mu is a leaf; filters and scorers run under it and must not
-// call back into the table.
+// Lock order: Table.mu is a leaf. Filters and scorers run under it and must not call
+// methods of the table.
 package picker
--- a/policy/picker/endpoint.go
+++ b/policy/picker/endpoint.go
@@ -6,7 +6,7 @@
 	"goldcrestfork/policy/limit"
 )
 
-// Tier is how far an endpoint is from this VM.
+// Tier is the distance of an endpoint from this VM.
 type Tier int
 
 // The tiers, nearest first.
@@ -17,63 +17,71 @@
 	tiers
 )
 
-// Spec is what configuration says about an endpoint.
+// Spec is the configuration of an endpoint.
 type Spec struct {
 	Name string
-	// Pools are the model versions, or the service, that it serves.
+	// Pools are the names of the model versions, or the service, that it serves.
 	Pools []string
-	// DataCentre is where it is; Tier is how far that is from this VM.
+	// DataCentre is the name of its data centre. Tier is the distance of that from this
+	// VM.
 	DataCentre string
 	Tier       Tier
-	// Bounds are the slots dealt to this VM.
+	// Bounds are the slots assigned to this VM.
 	Bounds limit.Bounds
 }
 
-// State is what is known of an endpoint besides its load. The zero value takes work.
+// State is the state of an endpoint apart from its load. An endpoint with the zero value
+// accepts work.
 type State struct {
-	// Leaving endpoints and those in a data centre that is out get no new work.
+	// Leaving and DataCentreOut exclude the endpoint from new work: it is being drained,
+	// or its data centre is taken out.
 	Leaving       bool
 	DataCentreOut bool
-	// Ejected is the outlier detector's decision; Probation lets one request at a time through.
+	// Ejected and Probation are set by the outlier detector. Ejected excludes the
+	// endpoint from new work; Probation allows one request at a time.
 	Ejected   bool
 	Probation bool
-	// Down says that it can't be reached.
+	// Down means that the endpoint cannot be reached.
 	Down bool
 }
 
-// Report is a load report of an endpoint; it is late by the time it is used.
+// Report is a load report of an endpoint. It is out of date by the time it is used.
 type Report struct {
-	// InFlight is the number of requests of all VMs running or queued there.
+	// InFlight is the number of requests of all VMs that run or are queued there.
 	InFlight int
-	// At is when the report was taken, by this VM's clock (arrival less half a round trip).
+	// At is the time of the report by this VM's clock: its arrival minus half the
+	// round-trip time.
 	At time.Time
 }
 
-// Endpoint is one entry of the table. Its fields are read by filters and scorers
-// only, under the table's lock.
+// Endpoint is one entry of the table. Filters and scorers may only read its fields, under
+// the table's lock.
 type Endpoint struct {
 	Spec
 	State  State
 	Report Report
-	// Suspects is the number of requests in flight here that were at a crash.
+	// Suspects is the number of requests in flight on the endpoint that were in flight at
+	// an earlier crash.
 	Suspects int
 	limit    *limit.Limit
-	// sinceReport counts own dispatches since the report was taken.
+	// sinceReport is the number of this VM's dispatches since the report was taken.
 	sinceReport int
-	// paused is until when the limit leaves it alone; the zero time when it doesn't.
-	paused time.Time
-	// counted is what it adds to the capacity of each of its pools, running what it
-	// adds to their load.
-	counted, running int
-	// position is its place in each of its pools' open sets, -1 when it's in none.
-	position []int
-	pools    []*pool
+	// pausedUntil is the end of the pause that the limit asked for, or the zero time if
+	// there is none.
+	pausedUntil time.Time
+	// countedLimit and countedInFlight are the endpoint's contributions to the capacity
+	// and inFlight of each of its pools.
+	countedLimit, countedInFlight int
+	// openIndex holds the index of the endpoint in the open set of each of its pools, or
+	// -1 if it is in none.
+	openIndex []int
+	pools     []*pool
 }
 
-// InFlight is the number of this VM's requests that run there.
+// InFlight returns the number of this VM's requests that run on the endpoint.
 func (e *Endpoint) InFlight() int { return e.limit.InFlight() }
 
-// Limit is the number of this VM's requests that may run there.
+// Limit returns the number of this VM's requests that may run on the endpoint at once.
 func (e *Endpoint) Limit() int {
 	if e.State.Probation {
 		return min(e.limit.Current(), 1)
@@ -81,37 +89,37 @@
 	return e.limit.Current()
 }
 
-// pool is one version's endpoints.
+// pool holds the endpoints of one model version or service.
 type pool struct {
 	name    string
 	members []*Endpoint
 	open    [tiers][]*Endpoint
 	ring    ring
-	// capacity and inFlight are the sums over the members that Capacity returns.
+	// capacity and inFlight are the sums over the members that Table.Capacity returns.
 	capacity, inFlight int
 }
 
-// pause leaves the endpoint alone for as long as its limit says.
+// pause excludes the endpoint from new work for the time that its limit asks for.
 func (t *Table) pause(now time.Time, e *Endpoint) {
 	pause := e.limit.Pause()
 	if pause == 0 {
 		return
 	}
-	if e.paused.IsZero() {
+	if e.pausedUntil.IsZero() {
 		t.paused = append(t.paused, e)
 	}
-	e.paused = now.Add(pause)
+	e.pausedUntil = now.Add(pause)
 }
 
-// resume ends the pauses that are over. There are none on most days.
-func (t *Table) resume(now time.Time) {
+// endPauses ends the pauses that have expired. Pauses are rare.
+func (t *Table) endPauses(now time.Time) {
 	kept := t.paused[:0]
 	for _, e := range t.paused {
-		if now.Before(e.paused) {
+		if now.Before(e.pausedUntil) {
 			kept = append(kept, e)
 			continue
 		}
-		e.paused = time.Time{}
+		e.pausedUntil = time.Time{}
 		if e.pools != nil {
 			t.refresh(e)
 		}
@@ -120,38 +128,39 @@
 	t.paused = kept
 }
 
-// count brings the sums of its pools up to date.
-func (e *Endpoint) count() {
+// updatePoolTotals updates the sums of the endpoint's pools.
+func (e *Endpoint) updatePoolTotals() {
 	limit, running := 0, e.InFlight()
 	if (TakesWork{}).Eligible(e) {
 		limit = e.Limit()
 	}
 	for _, p := range e.pools {
-		p.capacity += limit - e.counted
-		p.inFlight += running - e.running
+		p.capacity += limit - e.countedLimit
+		p.inFlight += running - e.countedInFlight
 	}
-	e.counted, e.running = limit, running
+	e.countedLimit, e.countedInFlight = limit, running
 }
 
-// setOpen puts the endpoint into the open sets of its pools, or takes it out.
+// setOpen adds the endpoint to the open sets of its pools or removes it from them.
 func (e *Endpoint) setOpen(open bool) {
 	for i, p := range e.pools {
-		at := e.position[i]
+		at := e.openIndex[i]
 		set := p.open[e.Tier]
 		switch {
 		case open && at < 0:
-			e.position[i] = len(set)
+			e.openIndex[i] = len(set)
 			p.open[e.Tier] = append(set, e)
 		case !open && at >= 0:
 			last := set[len(set)-1]
 			set[at] = last
-			last.position[last.indexOf(p)] = at
+			last.openIndex[last.indexOf(p)] = at
 			p.open[e.Tier] = set[:len(set)-1]
-			e.position[i] = -1
+			e.openIndex[i] = -1
 		}
 	}
 }
 
+// indexOf returns the index of the pool in e.pools.
 func (e *Endpoint) indexOf(p *pool) int {
 	for i, own := range e.pools {
 		if own == p {
--- a/policy/picker/example_test.go
+++ b/policy/picker/example_test.go
@@ -9,7 +9,7 @@
 	"goldcrestfork/policy/picker"
 )
 
-// Two endpoints serve a version; one leaves, and the other has one slot for this VM.
+// Two endpoints serve a version. One is leaving, and the other has one slot for this VM.
 func Example() {
 	now, rng := time.Unix(0, 0), rand.New(rand.NewPCG(1, 0))
 	t := picker.NewTable(picker.DefaultConfig(picker.WeightsCost))
--- a/policy/picker/memory_test.go
+++ b/policy/picker/memory_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// BenchmarkMemory reports the heap that a table holds on to, without and with its
-// prefix index filled.
+// BenchmarkMemory reports the heap that a table occupies, with an empty and with a full
+// prefix index.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
-		for _, prefixes := range []int{0, prefixEntries} {
+		for _, prefixes := range []int{0, maxPrefixEntries} {
 			b.Run(fmt.Sprintf("endpoints=%d/prefixes=%d", n, prefixes), func(b *testing.B) {
 				specs := fleet(n, 19, 4)
 				for b.Loop() {
 					before := heap()
-					tab := table(specs)
+					tab := newTable(specs)
 					for h := range uint64(prefixes) {
 						tab.Event(specs[int(h)%n].Name, Event{Sequence: h/uint64(n) + 1, Stored: []uint64{h}})
 					}
--- a/policy/picker/picker_test.go
+++ b/policy/picker/picker_test.go
@@ -18,7 +18,7 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// fleet returns specs of n endpoints that each serve two of the versions.
+// fleet returns the specs of n endpoints that serve two of the versions each.
 func fleet(n, versions, slots int) []Spec {
 	specs := make([]Spec, n)
 	for i := range specs {
@@ -32,13 +32,14 @@
 	return specs
 }
 
-func table(specs []Spec) *Table {
+func newTable(specs []Spec) *Table {
 	t := NewTable(DefaultConfig(WeightsCost))
 	t.Set(specs)
 	return t
 }
 
-func one(n, slots int) []Spec {
+// singleVersionFleet returns the specs of n local endpoints that all serve version v0.
+func singleVersionFleet(n, slots int) []Spec {
 	specs := fleet(n, 1, slots)
 	for i := range specs {
 		specs[i].Pools, specs[i].Tier = []string{"v0"}, TierLocal
@@ -46,13 +47,13 @@
 	return specs
 }
 
-// TestNeverWhatMayNot: under any sequence of changes, a pick serves the version
-// asked for, takes work, has room, and was not tried; and while such an endpoint
-// exists, one is picked.
-func TestNeverWhatMayNot(t *testing.T) {
+// TestPickHonoursFilters checks under random sequences of changes that a picked endpoint
+// serves the requested version, accepts work, has free capacity and was not tried before,
+// and that one is picked whenever such an endpoint exists.
+func TestPickHonoursFilters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		specs := fleet(8, 3, 2)
-		tab, rng := table(specs), newRand()
+		tab, rng := newTable(specs), newRand()
 		state := map[string]State{}
 		running := map[string]int{}
 		var picked []*Endpoint
@@ -99,10 +100,10 @@
 	})
 }
 
-// TestProbation: an endpoint on probation is tried out by what can be made good, one
-// request at a time.
+// TestProbation checks that an endpoint on probation gets only requests that may be
+// repeated, one at a time.
 func TestProbation(t *testing.T) {
-	tab, rng := table(one(1, 4)), newRand()
+	tab, rng := newTable(singleVersionFleet(1, 4)), newRand()
 	tab.Update("e0000", func(s *State) { s.Probation = true })
 	_, miss := tab.Pick(start, rng, &Request{Pool: "v0"})
 	require.Equal(t, MissFiltered, miss)
@@ -112,10 +113,10 @@
 	require.Equal(t, MissFull, miss)
 }
 
-// TestPause: an endpoint whose limit is below one is left alone for a while after each
-// request, and is back without anything else happening.
+// TestPause checks that an endpoint whose limit is below one request is paused after each
+// request and becomes available again without any further event.
 func TestPause(t *testing.T) {
-	tab, rng, r := table(one(1, 1)), newRand(), &Request{Pool: "v0"}
+	tab, rng, r := newTable(singleVersionFleet(1, 1)), newRand(), &Request{Pool: "v0"}
 	now, latency := start, time.Second
 	for range 5 {
 		e, miss := tab.Pick(now, rng, r)
@@ -130,14 +131,15 @@
 	_, miss := tab.Pick(now, rng, r)
 	require.Equal(t, MissFull, miss)
 	limit, _ := tab.Capacity("v0")
-	require.Equal(t, 1, limit, "the pool is not gone")
+	require.Equal(t, 1, limit, "the pool keeps its capacity")
 	_, miss = tab.Pick(now.Add(time.Minute), rng, r)
 	require.Equal(t, Picked, miss)
 }
 
-// TestSuspectsApart: two requests that were at a crash never share an endpoint.
-func TestSuspectsApart(t *testing.T) {
-	tab, rng := table(one(2, 8)), newRand()
+// TestSeparateSuspects checks that two requests that were in flight at a crash never
+// share an endpoint.
+func TestSeparateSuspects(t *testing.T) {
+	tab, rng := newTable(singleVersionFleet(2, 8)), newRand()
 	r := &Request{Pool: "v0", Suspect: true}
 	a, _ := tab.Pick(start, rng, r)
 	b, _ := tab.Pick(start, rng, r)
@@ -149,26 +151,26 @@
 	require.Equal(t, a.Name, c.Name)
 }
 
-// reportOnly believes the report, however old.
+// reportOnly scores by the load report alone, whatever its age.
 type reportOnly struct{}
 
 func (reportOnly) Score(_ time.Time, _ *Request, c Candidate) float64 {
 	return -float64(c.Report.InFlight)
 }
 
-// TestNoHerd: seven VMs hold the same stale report, in which one endpoint is idle and
-// the others are full. Before the next report they send 84 requests. Even if they all
-// believed it, the idle one must not get most of them: it is only compared where it
-// is drawn.
-func TestNoHerd(t *testing.T) {
+// TestStaleReportCausesNoHerding guards against herding. Seven VMs hold the same stale
+// report, in which one endpoint is idle and the others are full, and send 84 requests
+// before the next one. Even with a scorer that trusts the report, the idle endpoint must
+// not get most of them, since it is only compared where it is drawn.
+func TestStaleReportCausesNoHerding(t *testing.T) {
 	got := map[string]int{}
 	cfg := DefaultConfig(WeightsCost)
 	cfg.Scorers = []Weighted{{reportOnly{}, 1}}
 	for vm := range 7 {
 		tab := NewTable(cfg)
-		tab.Set(one(12, 8))
+		tab.Set(singleVersionFleet(12, 8))
 		rng := rand.New(rand.NewPCG(seed, uint64(vm)))
-		for i, s := range one(12, 8) {
+		for i, s := range singleVersionFleet(12, 8) {
 			tab.Report(s.Name, Report{InFlight: 8 * min(i, 1), At: start})
 		}
 		for range 12 {
@@ -176,14 +178,14 @@
 			got[e.Name]++
 		}
 	}
-	require.LessOrEqual(t, got["e0000"], 21, "three times its share of 7 at most")
+	require.LessOrEqual(t, got["e0000"], 21, "at most three times its share of 7")
 	require.Len(t, got, 12)
 }
 
-// TestOldReportsFade: a report that was right two seconds ago weighs less than this
-// VM's own requests, which it knows exactly.
-func TestOldReportsFade(t *testing.T) {
-	idle, busy := table(one(1, 8)).endpoints["e0000"], table(one(1, 8)).endpoints["e0000"]
+// TestReportWeightDecays checks that a report from two seconds ago weighs less than this
+// VM's own requests, whose number is exact.
+func TestReportWeightDecays(t *testing.T) {
+	idle, busy := newTable(singleVersionFleet(1, 8)).endpoints["e0000"], newTable(singleVersionFleet(1, 8)).endpoints["e0000"]
 	idle.Report = Report{InFlight: 0, At: start}
 	busy.Report = Report{InFlight: 8, At: start}
 	for range 2 {
@@ -193,12 +195,12 @@
 		return LeastLoad{}.Score(start.Add(age), &Request{}, Candidate{Endpoint: e})
 	}
 	require.Greater(t, score(busy, 2*time.Second), score(idle, 2*time.Second))
-	require.Less(t, score(busy, 0), score(idle, 0), "a fresh one weighs more")
+	require.Less(t, score(busy, 0), score(idle, 0), "a fresh report weighs more")
 }
 
-// TestAffinity: where a prefix goes, by what is known of it. Events are late, some
-// are lost, and a restart empties the cache.
-func TestAffinity(t *testing.T) {
+// TestPrefixConfidence checks the confidence that an endpoint holds a prefix when events
+// are late or lost, or a restart empties the cache.
+func TestPrefixConfidence(t *testing.T) {
 	const prefix = 42
 	cases := []struct {
 		name   string
@@ -206,17 +208,17 @@
 		cold   bool
 		want   float64 // confidence that e0000 holds it
 	}{
-		{"stored", []Event{{Sequence: 1, Stored: []uint64{prefix}}}, false, confirmed},
-		{"a later event was lost", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 4}}, false, doubted},
-		{"an old event comes again", []Event{{Sequence: 2, Stored: []uint64{prefix}}, {Sequence: 1, Removed: []uint64{prefix}}}, false, confirmed},
+		{"stored", []Event{{Sequence: 1, Stored: []uint64{prefix}}}, false, confirmedConfidence},
+		{"a later event was lost", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 4}}, false, doubtedConfidence},
+		{"an old event is repeated", []Event{{Sequence: 2, Stored: []uint64{prefix}}, {Sequence: 1, Removed: []uint64{prefix}}}, false, confirmedConfidence},
 		{"removed", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Removed: []uint64{prefix}}}, false, 0},
 		{"cleared", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Cleared: true}}, false, 0},
 		{"back in cold start", []Event{{Sequence: 1, Stored: []uint64{prefix}}}, true, 0},
-		{"stored after a restart", []Event{{Sequence: 9, Cleared: true}, {Sequence: 10, Stored: []uint64{prefix}}}, false, confirmed},
+		{"stored after a restart", []Event{{Sequence: 9, Cleared: true}, {Sequence: 10, Stored: []uint64{prefix}}}, false, confirmedConfidence},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tab := table(one(4, 8))
+			tab := newTable(singleVersionFleet(4, 8))
 			for _, ev := range c.events {
 				tab.Event("e0000", ev)
 			}
@@ -232,10 +234,10 @@
 	}
 }
 
-// TestSameEndpointWithoutNews: VMs that heard nothing of a prefix still meet on one
-// endpoint, and on the same next one when it is full.
-func TestSameEndpointWithoutNews(t *testing.T) {
-	tabs := []*Table{table(one(12, 64)), table(one(12, 64))}
+// TestRingAgreesAcrossVMs checks that VMs without cache events for a prefix choose the
+// same endpoint for it in most cases.
+func TestRingAgreesAcrossVMs(t *testing.T) {
+	tabs := []*Table{newTable(singleVersionFleet(12, 64)), newTable(singleVersionFleet(12, 64))}
 	agree := 0
 	for i := range uint64(100) {
 		a, _ := tabs[0].Pick(start, rand.New(rand.NewPCG(seed, 1)), &Request{Pool: "v0", Prefix: []uint64{i}})
@@ -247,10 +249,11 @@
 	require.GreaterOrEqual(t, agree, 70)
 }
 
-// TestAllocations: a decision allocates no more in a large fleet than in a small one.
+// TestAllocations checks that a decision allocates no more in a large fleet than in a
+// small one.
 func TestAllocations(t *testing.T) {
 	perPick := func(n int) float64 {
-		tab, rng := table(fleet(n, 19, 4)), newRand()
+		tab, rng := newTable(fleet(n, 19, 4)), newRand()
 		r := &Request{Pool: "v3", Prefix: []uint64{1, 2, 3, 4}, Exclude: []string{"e0003"}}
 		return testing.AllocsPerRun(1000, func() {
 			e, _ := tab.Pick(start, rng, r)
@@ -266,7 +269,7 @@
 		for _, full := range []int{0, 95} {
 			b.Run(fmt.Sprintf("endpoints=%d/versions=19/full=%d%%", n, full), func(b *testing.B) {
 				specs := fleet(n, 19, 4)
-				tab, rng := table(specs), newRand()
+				tab, rng := newTable(specs), newRand()
 				for i, s := range specs {
 					tab.Report(s.Name, Report{InFlight: i % 5, At: start})
 					if i%100 < full {
@@ -291,12 +294,12 @@
 	}
 }
 
-// BenchmarkSet is a change of configuration or membership.
+// BenchmarkSet measures a change of configuration or membership.
 func BenchmarkSet(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			specs := fleet(n, 19, 4)
-			tab := table(specs)
+			tab := newTable(specs)
 			b.ReportAllocs()
 			for b.Loop() {
 				tab.Set(specs)
@@ -308,7 +311,7 @@
 func BenchmarkCapacity(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			tab := table(fleet(n, 19, 4))
+			tab := newTable(fleet(n, 19, 4))
 			for b.Loop() {
 				tab.Capacity("v3")
 			}
--- a/policy/picker/plugins.go
+++ b/policy/picker/plugins.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// Request is what the picker must know of a request.
+// Request describes a request to filters and scorers.
 type Request struct {
-	// Pool is the model version, or the service.
+	// Pool is the name of the model version or service.
 	Pool string
-	// Prefix are the hashes of the prompt's leading blocks, the longest last; each
-	// covers all blocks before it. Empty for a plain service.
+	// Prefix holds the hashes of the prompt's leading blocks, the longest last; each hash
+	// covers all blocks before it. It is empty for a service without prompts.
 	Prefix []uint64
-	// Exclude names endpoints already tried.
+	// Exclude holds the names of the endpoints already tried.
 	Exclude []string
-	// Only is the one endpoint that will do, which holds the stream to resume; empty for any.
+	// Only is the name of the endpoint that holds the stream to resume, which is then the
+	// only one allowed. It is empty for any endpoint.
 	Only string
-	// Probe says that it may be run on an endpoint on probation: it may be repeated,
-	// and its deadline leaves time for that.
+	// Probe means that the request may run on an endpoint on probation: it may be
+	// repeated, and its deadline leaves time for that.
 	Probe bool
-	// Suspect says that the request was at a crash (see policy/poison).
+	// Suspect means that the request was in flight at a crash (see policy/poison).
 	Suspect bool
 }
 
-// StateFilter decides by an endpoint's state alone; it runs when the state changes.
+// StateFilter decides by the state of an endpoint alone. It runs when the state changes.
 type StateFilter interface {
 	// Eligible reports whether the endpoint may get new work.
 	Eligible(e *Endpoint) bool
 }
 
-// RequestFilter decides for one request; it runs for each candidate.
+// RequestFilter decides for one request. It runs for each candidate.
 type RequestFilter interface {
 	// Allow reports whether the request may run on the endpoint.
 	Allow(r *Request, e *Endpoint) bool
 }
 
-// Scorer rates a candidate from 0 to 1, best last.
+// Scorer rates a candidate from 0 to 1; higher is better.
 type Scorer interface {
+	// Score returns the rating of the candidate for the request.
 	Score(now time.Time, r *Request, c Candidate) float64
 }
 
-// Candidate is an endpoint with what the prefix index says of it for this request.
+// Candidate is an endpoint with the result of the prefix index for this request.
 type Candidate struct {
 	*Endpoint
-	// Hit is the share of the request's prefix that the endpoint likely holds, 0..1.
+	// Hit is the share of the request's prefix, 0..1, that the endpoint likely holds.
 	Hit float64
 }
 
-// TakesWork is the filter for operators' and detectors' states: leaving, data
-// centre out, ejected, down.
+// TakesWork is the filter for the states that operators and detectors set: leaving, data
+// centre out, ejected and down.
 type TakesWork struct{}
 
 // Eligible implements StateFilter.
@@ -58,14 +60,14 @@
 	return !s.Leaving && !s.DataCentreOut && !s.Ejected && !s.Down
 }
 
-// HasRoom is the filter for full endpoints.
-type HasRoom struct{}
+// HasFreeCapacity is the filter that excludes endpoints at capacity.
+type HasFreeCapacity struct{}
 
 // Eligible implements StateFilter.
-func (HasRoom) Eligible(e *Endpoint) bool { return e.InFlight() < e.Limit() }
+func (HasFreeCapacity) Eligible(e *Endpoint) bool { return e.InFlight() < e.Limit() }
 
-// NotTried keeps a retry off the endpoints that were already tried, and a resumed
-// stream on the one that holds it.
+// NotTried excludes endpoints that a retry has already tried, and restricts a resumed
+// stream to the endpoint that holds it.
 type NotTried struct{}
 
 // Allow implements RequestFilter.
@@ -73,29 +75,30 @@
 	return (r.Only == "" || r.Only == e.Name) && !slices.Contains(r.Exclude, e.Name)
 }
 
-// ProbesOnly keeps requests off endpoints on probation that could not be made good
-// if the endpoint turns out to be as bad as before.
+// ProbesOnly excludes endpoints on probation for requests that could not be repeated in
+// time if the endpoint fails again.
 type ProbesOnly struct{}
 
 // Allow implements RequestFilter.
 func (ProbesOnly) Allow(r *Request, e *Endpoint) bool { return r.Probe || !e.State.Probation }
 
-// SuspectsApart keeps a request that was at a crash off endpoints where another
-// such request runs, so that the next crash tells them apart.
-type SuspectsApart struct{}
+// SeparateSuspects excludes endpoints where another suspect runs from suspect requests,
+// so that the next crash has one suspect only.
+type SeparateSuspects struct{}
 
 // Allow implements RequestFilter.
-func (SuspectsApart) Allow(r *Request, e *Endpoint) bool {
+func (SeparateSuspects) Allow(r *Request, e *Endpoint) bool {
 	return !r.Suspect || e.Suspects == 0
 }
 
-// reportAge is the time after which half of a report's weight is gone: reports
-// come every two seconds, and a request runs for about as long.
-const reportAge = 2 * time.Second
+// reportHalfLife is the time in which the weight of a load report halves. Reports arrive
+// every two seconds, and a request runs for about as long.
+const reportHalfLife = 2 * time.Second
 
-// LeastLoad rates by free room: this VM's own requests, exact and current, and
-// the endpoint's report for those of the others, which counts for less as it ages
-// and to which this VM's dispatches since then are added.
+// LeastLoad rates by free capacity. It combines this VM's own requests, which are exact
+// and current, with the endpoint's load report, which covers the other VMs. The weight of
+// the report decreases with its age, and this VM's dispatches since then are added to its
+// load.
 type LeastLoad struct{}
 
 // Score implements Scorer.
@@ -105,16 +108,16 @@
 	if c.Report.At.IsZero() {
 		return score
 	}
-	age := now.Sub(c.Report.At).Seconds() / reportAge.Seconds()
+	age := now.Sub(c.Report.At).Seconds() / reportHalfLife.Seconds()
 	trust := math.Exp2(-age) / 2
 	load := float64(c.Report.InFlight + c.sinceReport)
-	reported := 1 / (1 + load/fullLoad)
+	reported := 1 / (1 + load/halfScoreLoad)
 	return (1-trust)*score + trust*reported
 }
 
-// fullLoad is the reported load that rates one half: the slots of a usual runner
-// (16 in docs/DECISIONS.md's model of the brief's pools).
-const fullLoad = 16
+// halfScoreLoad is the reported load with a score of one half: the 16 slots of a typical
+// engine (docs/DECISIONS.md).
+const halfScoreLoad = 16
 
 // PrefixHit rates by the share of the prefix that is likely cached.
 type PrefixHit struct{}
@@ -122,7 +125,7 @@
 // Score implements Scorer.
 func (PrefixHit) Score(_ time.Time, _ *Request, c Candidate) float64 { return c.Hit }
 
-// Near rates by data centre distance.
+// Near rates by the distance of the data centre.
 type Near struct{}
 
 // Score implements Scorer.
@@ -130,29 +133,29 @@
 	return 1 - float64(c.Tier)/float64(tiers-1)
 }
 
-// Weighted is a scorer with its weight.
+// Weighted is a scorer with its weight in the sum of scores.
 type Weighted struct {
 	Scorer
 	Weight float64
 }
 
-// Weights are the weights of the standard scorers.
+// Weights holds the weights of the standard scorers.
 type Weights struct {
 	Load, Prefix, Near float64
 }
 
-// WeightsCost is the default where cost weighs more than latency, as for growth
-// reports that can wait: a cached prefix saves work, so it may win over a lower load.
+// WeightsCost is the default where cost matters more than latency, such as for reports
+// that can wait. A cached prefix saves work, so it may outweigh a lower load.
 var WeightsCost = Weights{Load: 1, Prefix: 1.5, Near: 0.25}
 
-// WeightsLatency is the default where latency weighs more, as for till lookups. The
-// prefix weighs as much as the load there too: at half of it, fewer prefixes were
-// found cached and immediate requests took longer (p99 0.96 s instead of 0.93 s with
-// norte's prefixes). That nearness counts twice is an assumption: docs/DECISIONS.md's
-// model has no network in it.
+// WeightsLatency is the default where latency matters more than cost, such as for short
+// lookups. The prefix weighs as much as the load here too: at half of it, fewer prefixes
+// are found cached and immediate requests take longer (p99 0.96 s instead of 0.93 s). The
+// double weight of nearness is an assumption, since the model in docs/DECISIONS.md has no
+// network latency.
 var WeightsLatency = Weights{Load: 1, Prefix: 1, Near: 0.5}
 
-// Scorers returns the standard scorers at these weights.
+// Scorers returns the standard scorers with these weights.
 func (w Weights) Scorers() []Weighted {
 	return []Weighted{
 		{LeastLoad{}, w.Load},
--- a/policy/picker/prefix.go
+++ b/policy/picker/prefix.go
@@ -5,57 +5,62 @@
 )
 
 const (
-	// prefixEntries bounds the index; an entry takes about 200 bytes, so 10 MB.
-	prefixEntries = 50_000
-	// holders is the number of endpoints remembered for a prefix. A hot prefix is on
-	// more, and then any four of them serve.
-	holders = 4
-	// Confidence that an endpoint holds a prefix, by where the news comes from.
-	confirmed = 1.0 // a cache event or an answer's count of cached tokens
-	assumed   = 0.8 // own dispatch: it was computed there, and is kept for a while
-	doubted   = 0.4 // an event of that endpoint was lost since
-	derived   = 0.3 // the ring's endpoint, where other VMs send it as well
+	// maxPrefixEntries bounds the index. An entry takes about 200 bytes, so the index
+	// takes 10 MB.
+	maxPrefixEntries = 50_000
+	// maxHolders is the number of endpoints remembered per prefix. A hot prefix is cached
+	// on more endpoints, any four of which are enough.
+	maxHolders = 4
+	// The confidence that an endpoint holds a prefix depends on the source of the
+	// information.
+	confirmedConfidence = 1.0 // from a cache event or an answer's count of cached tokens
+	assumedConfidence   = 0.8 // from an own dispatch, after which the prefix stays cached for a while
+	doubtedConfidence   = 0.4 // after a later event of the endpoint was lost
+	ringConfidence      = 0.3 // from the ring, by which other VMs send the prefix to the same endpoint
 )
 
-// Event is a cache event of an endpoint: late, and with gaps.
+// Event is a cache event of an endpoint. Events may be late, and some may be lost.
 type Event struct {
-	// Sequence counts the endpoint's events; a jump shows that some were lost.
+	// Sequence numbers the events of an endpoint. A gap shows that some were lost.
 	Sequence uint64
-	// Stored and Removed are prefix block hashes.
+	// Stored and Removed hold hashes of prefix blocks.
 	Stored, Removed []uint64
-	// Cleared says that the whole cache is gone (a restart).
+	// Cleared means that the whole cache is lost, for example by a restart.
 	Cleared bool
 }
 
+// holder is an endpoint that likely holds a prefix.
 type holder struct {
 	e          *Endpoint
 	epoch      uint32 // the endpoint's epoch when the entry was made
 	confidence float64
 }
 
-// prefixIndex remembers which endpoints likely hold a prefix. It is a hint only:
-// a wrong entry costs a prefill, never a wrong answer.
+// prefixIndex records which endpoints likely hold a prefix. It is only a hint: a wrong
+// entry costs a prefill but never leads to a wrong answer.
 type prefixIndex struct {
-	entries *lru.LRU[uint64, *[holders]holder]
+	entries *lru.LRU[uint64, *[maxHolders]holder]
 	streams map[*Endpoint]*eventStream
 }
 
-// eventStream is the state of one endpoint's events. Epochs mark entries old
-// without visiting them: a restart raises cleared, a gap raises doubt.
+// eventStream is the state of the cache events of one endpoint. Epochs invalidate entries
+// without visiting them: a restart sets cleared to a new epoch, and a gap starts a new
+// epoch, which reduces the confidence of older entries.
 type eventStream struct {
 	sequence uint64
 	epoch    uint32
-	cleared  uint32 // entries made before this epoch are gone
+	cleared  uint32 // entries made before this epoch are invalid
 }
 
 func newPrefixIndex() *prefixIndex {
-	entries, err := lru.NewLRU[uint64, *[holders]holder](prefixEntries, nil)
+	entries, err := lru.NewLRU[uint64, *[maxHolders]holder](maxPrefixEntries, nil)
 	if err != nil {
-		panic(err) // the size is a positive constant
+		panic(err) // cannot happen: the size is a positive constant
 	}
 	return &prefixIndex{entries: entries, streams: make(map[*Endpoint]*eventStream)}
 }
 
+// stream returns the event stream of the endpoint and creates it if necessary.
 func (x *prefixIndex) stream(e *Endpoint) *eventStream {
 	s := x.streams[e]
 	if s == nil {
@@ -65,9 +70,9 @@
 	return s
 }
 
-// event takes a cache event. After a gap the older entries are doubted, not
-// dropped: most lost events are of other prefixes.
-func (x *prefixIndex) event(e *Endpoint, ev Event) {
+// applyEvent applies a cache event. A gap in the sequence reduces the confidence of older
+// entries but keeps them, since most lost events concern other prefixes.
+func (x *prefixIndex) applyEvent(e *Endpoint, ev Event) {
 	s := x.stream(e)
 	if ev.Sequence <= s.sequence && !ev.Cleared {
 		return
@@ -80,34 +85,35 @@
 	}
 	s.sequence = ev.Sequence
 	for _, h := range ev.Removed {
-		x.forget(h, e)
+		x.removeHolder(h, e)
 	}
 	for _, h := range ev.Stored {
-		x.learn(h, e, confirmed)
+		x.addHolder(h, e, confirmedConfidence)
 	}
 }
 
-// learn notes that the endpoint holds the prefix.
-func (x *prefixIndex) learn(hash uint64, e *Endpoint, confidence float64) {
+// addHolder records that the endpoint likely holds the prefix.
+func (x *prefixIndex) addHolder(hash uint64, e *Endpoint, confidence float64) {
 	entry, ok := x.entries.Get(hash)
 	if !ok {
-		entry = new([holders]holder)
+		entry = new([maxHolders]holder)
 		x.entries.Add(hash, entry)
 	}
 	epoch := x.stream(e).epoch
-	at := holders - 1
+	at := maxHolders - 1
 	for i := range entry {
 		if entry[i].e == e || entry[i].e == nil {
 			at = i
 			break
 		}
 	}
-	// Newest first; the oldest falls out.
+	// The newest holder comes first, and the oldest is dropped.
 	copy(entry[1:at+1], entry[:at])
 	entry[0] = holder{e: e, epoch: epoch, confidence: confidence}
 }
 
-func (x *prefixIndex) forget(hash uint64, e *Endpoint) {
+// removeHolder removes the endpoint from the holders of the prefix.
+func (x *prefixIndex) removeHolder(hash uint64, e *Endpoint) {
 	entry, ok := x.entries.Peek(hash)
 	if !ok {
 		return
@@ -115,13 +121,13 @@
 	for i := range entry {
 		if entry[i].e == e {
 			copy(entry[i:], entry[i+1:])
-			entry[holders-1] = holder{}
+			entry[maxHolders-1] = holder{}
 			return
 		}
 	}
 }
 
-// confidence returns the trust in one holder now.
+// confidence returns the current confidence of one holder.
 func (x *prefixIndex) confidence(h holder) float64 {
 	s := x.streams[h.e]
 	switch {
@@ -130,11 +136,12 @@
 	case h.epoch < s.cleared:
 		return 0
 	}
-	return min(h.confidence, doubted)
+	return min(h.confidence, doubtedConfidence)
 }
 
-// drop forgets an endpoint that left the table; its entries are skipped from now on.
-func (x *prefixIndex) drop(e *Endpoint) {
+// invalidate invalidates all entries of an endpoint that left the table or lost its
+// cache.
+func (x *prefixIndex) invalidate(e *Endpoint) {
 	s := x.stream(e)
 	s.epoch++
 	s.cleared = s.epoch
--- a/policy/picker/ring.go
+++ b/policy/picker/ring.go
@@ -7,21 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringPoints is the number of points of an endpoint on its pool's ring. Eight put
-// the most loaded of 12 endpoints at about 1.7 times the mean share of prefixes,
-// which the load scorer evens out.
+// ringPoints is the number of points of an endpoint on its pool's ring. With eight, the
+// most loaded of 12 endpoints gets about 1.7 times the mean share of prefixes, which the
+// load scorer evens out.
 const ringPoints = 8
 
 // ring maps a prefix to endpoints by consistent hashing. All VMs with the same
-// configuration find the same endpoint for a prefix, without any message between
-// them and without any cache event.
+// configuration find the same endpoint for a prefix, without messages between them and
+// without cache events.
 type ring []ringPoint
 
+// ringPoint is a point of an endpoint on the ring.
 type ringPoint struct {
 	hash uint64
 	e    *Endpoint
 }
 
+// newRing returns the ring of the given endpoints, sorted by hash.
 func newRing(members []*Endpoint) ring {
 	points := make(ring, 0, len(members)*ringPoints)
 	for _, e := range members {
@@ -35,7 +37,8 @@
 	return points
 }
 
-// walk calls yield for points from the key's place on until it returns false.
+// walk calls yield for the ring's points, starting at the position of the key, until
+// yield returns false.
 func (r ring) walk(key uint64, yield func(*Endpoint) bool) {
 	if len(r) == 0 {
 		return
--- a/policy/picker/table.go
+++ b/policy/picker/table.go
@@ -10,52 +10,53 @@
 	"goldcrestfork/policy/limit"
 )
 
-// Config sets the plugins of a table.
+// Config configures the plugins of a table.
 type Config struct {
 	Limit    limit.Config
 	State    []StateFilter
 	Request  []RequestFilter
 	Scorers  []Weighted
-	Affinity bool // ask the prefix index for candidates
+	Affinity bool // whether the prefix index and the ring add candidates
 }
 
-// DefaultConfig returns the standard plugins at the given weights.
+// DefaultConfig returns the standard plugins with the given weights.
 func DefaultConfig(w Weights) Config {
 	return Config{
 		Limit:    limit.DefaultConfig,
-		State:    []StateFilter{TakesWork{}, HasRoom{}},
-		Request:  []RequestFilter{NotTried{}, ProbesOnly{}, SuspectsApart{}},
+		State:    []StateFilter{TakesWork{}, HasFreeCapacity{}},
+		Request:  []RequestFilter{NotTried{}, ProbesOnly{}, SeparateSuspects{}},
 		Scorers:  w.Scorers(),
 		Affinity: true,
 	}
 }
 
-// Miss tells why no endpoint was picked.
+// Miss is the reason why no endpoint was picked.
 type Miss string
 
 // The reasons for which nothing is picked.
 const (
-	// Picked means that there is an endpoint.
+	// Picked means that an endpoint was picked.
 	Picked Miss = ""
-	// MissUnknown: no endpoint serves that version at all.
+	// MissUnknown means that no endpoint serves the version.
 	MissUnknown Miss = "unknown"
-	// MissDown: endpoints serve it, but none takes work now.
+	// MissDown means that endpoints serve the version but none accepts work.
 	MissDown Miss = "down"
-	// MissFull: all that take work are full.
+	// MissFull means that all endpoints that accept work are full.
 	MissFull Miss = "full"
-	// MissFiltered: those with room were dropped for this request.
+	// MissFiltered means that the request filters excluded all endpoints with free
+	// capacity.
 	MissFiltered Miss = "filtered"
 )
 
 // Table holds the endpoints as one VM sees them. It is safe for concurrent use.
 type Table struct {
-	mu        sync.Mutex
-	cfg       Config
-	endpoints map[string]*Endpoint
-	pools     map[string]*pool
-	prefixes  *prefixIndex
-	cands     []Candidate // scratch of Pick
-	paused    []*Endpoint
+	mu         sync.Mutex
+	cfg        Config
+	endpoints  map[string]*Endpoint
+	pools      map[string]*pool
+	prefixes   *prefixIndex
+	candidates []Candidate // buffer reused by Pick
+	paused     []*Endpoint
 }
 
 // NewTable returns an empty table.
@@ -68,13 +69,13 @@
 	}
 }
 
-// Set makes specs the endpoints of the table. Limits, states and load of those
-// that stay are kept; requests that run on those that go may still be released.
+// Set replaces the endpoints of the table. Endpoints that stay keep their limit, state
+// and load. Requests that run on removed endpoints may still be released.
 func (t *Table) Set(specs []Spec) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// Sorted, so that pools whose endpoints stay are found unchanged, and a run with
-	// the same seed is the same run.
+	// Sorting lets pools with the same endpoints be recognised as unchanged, and makes a
+	// run with the same seed reproducible.
 	specs = slices.SortedFunc(slices.Values(specs), func(a, b Spec) int { return strings.Compare(a.Name, b.Name) })
 	old, oldPools := t.endpoints, t.pools
 	t.endpoints = make(map[string]*Endpoint, len(specs))
@@ -88,15 +89,15 @@
 		e.Spec = s
 		e.limit.SetBounds(s.Bounds)
 		t.endpoints[s.Name] = e
-		t.join(e)
+		t.addToPools(e)
 	}
 	for _, e := range old {
-		t.prefixes.drop(e)
-		e.pools, e.position = nil, nil
+		t.prefixes.invalidate(e)
+		e.pools, e.openIndex = nil, nil
 	}
 	for name, p := range t.pools {
 		if before := oldPools[name]; before != nil && slices.Equal(before.members, p.members) {
-			p.ring = before.ring // sorting it is most of the cost of a change
+			p.ring = before.ring // building the ring is most of the cost of a change
 		} else {
 			p.ring = newRing(p.members)
 		}
@@ -106,10 +107,11 @@
 	}
 }
 
-func (t *Table) join(e *Endpoint) {
-	e.counted, e.running = 0, 0
+// addToPools adds the endpoint to the pools that it serves and creates missing pools.
+func (t *Table) addToPools(e *Endpoint) {
+	e.countedLimit, e.countedInFlight = 0, 0
 	e.pools = make([]*pool, len(e.Pools))
-	e.position = make([]int, len(e.Pools))
+	e.openIndex = make([]int, len(e.Pools))
 	for i, name := range e.Pools {
 		p := t.pools[name]
 		if p == nil {
@@ -118,13 +120,14 @@
 		}
 		p.members = append(p.members, e)
 		e.pools[i] = p
-		e.position[i] = -1
+		e.openIndex[i] = -1
 	}
 }
 
-// refresh runs the state filters and files the endpoint accordingly.
+// refresh runs the state filters and updates the open sets and totals of the endpoint's
+// pools.
 func (t *Table) refresh(e *Endpoint) {
-	open := e.paused.IsZero()
+	open := e.pausedUntil.IsZero()
 	for _, f := range t.cfg.State {
 		if !f.Eligible(e) {
 			open = false
@@ -132,38 +135,39 @@
 		}
 	}
 	e.setOpen(open)
-	e.count()
+	e.updatePoolTotals()
 }
 
-// Update changes an endpoint's state; it is in force with the next Pick.
+// Update changes the state of an endpoint. The change takes effect with the next Pick.
 func (t *Table) Update(name string, change func(*State)) {
-	t.with(name, func(e *Endpoint) { change(&e.State) })
+	t.updateEndpoint(name, func(e *Endpoint) { change(&e.State) })
 }
 
-// SetCold puts an endpoint in cold start or ends it; its cache is taken as lost.
+// SetCold starts or ends the cold start of an endpoint. A cold start invalidates the
+// endpoint's prefix entries, since its cache is lost.
 func (t *Table) SetCold(name string, cold bool) {
-	t.with(name, func(e *Endpoint) {
+	t.updateEndpoint(name, func(e *Endpoint) {
 		if cold && !e.limit.Cold() {
-			t.prefixes.drop(e)
+			t.prefixes.invalidate(e)
 		}
-		if !e.paused.IsZero() {
-			e.paused = time.Unix(0, 0) // what paused it is gone: over with the next Pick
+		if !e.pausedUntil.IsZero() {
+			e.pausedUntil = time.Unix(0, 0) // the cause of the pause is gone, so the next Pick ends it
 		}
 		e.limit.SetCold(cold)
 	})
 }
 
-// SetBounds changes the slots dealt to this VM.
+// SetBounds changes the slots assigned to this VM.
 func (t *Table) SetBounds(name string, b limit.Bounds) {
-	t.with(name, func(e *Endpoint) {
+	t.updateEndpoint(name, func(e *Endpoint) {
 		e.Bounds = b
 		e.limit.SetBounds(b)
 	})
 }
 
-// Report takes a load report.
+// Report applies a load report unless a newer one is known.
 func (t *Table) Report(name string, r Report) {
-	t.with(name, func(e *Endpoint) {
+	t.updateEndpoint(name, func(e *Endpoint) {
 		if r.At.After(e.Report.At) {
 			e.Report = r
 			e.sinceReport = 0
@@ -171,12 +175,13 @@
 	})
 }
 
-// Event takes a cache event.
+// Event applies a cache event of an endpoint.
 func (t *Table) Event(name string, ev Event) {
-	t.with(name, func(e *Endpoint) { t.prefixes.event(e, ev) })
+	t.updateEndpoint(name, func(e *Endpoint) { t.prefixes.applyEvent(e, ev) })
 }
 
-func (t *Table) with(name string, change func(*Endpoint)) {
+// updateEndpoint applies the change to the endpoint, if it exists, and refreshes it.
+func (t *Table) updateEndpoint(name string, change func(*Endpoint)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.endpoints[name]
@@ -187,8 +192,8 @@
 	t.refresh(e)
 }
 
-// Capacity is the number of this VM's requests that may run in the pool at once,
-// and how many do.
+// Capacity returns the number of this VM's requests that may run in the pool at once, and
+// the number of those that run.
 func (t *Table) Capacity(poolName string) (limit, inFlight int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,7 +204,8 @@
 	return p.capacity, p.inFlight
 }
 
-// Pick chooses an endpoint and takes a slot of it, to be given back by Done.
+// Pick chooses an endpoint and takes one of its slots, which Done returns. Without an
+// endpoint it returns the reason.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (*Endpoint, Miss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,15 +213,15 @@
 	if p == nil || len(p.members) == 0 {
 		return nil, MissUnknown
 	}
-	t.resume(now)
-	t.cands = t.cands[:0]
+	t.endPauses(now)
+	t.candidates = t.candidates[:0]
 	if t.cfg.Affinity && len(r.Prefix) > 0 {
-		t.addHolders(p, r)
+		t.addPrefixHolders(p, r)
 	}
 	t.addRandom(p, rng, r)
-	e := t.best(now, r)
+	e := t.bestCandidate(now, r)
 	if e == nil {
-		return nil, p.miss()
+		return nil, p.missReason()
 	}
 	e.limit.Acquire()
 	e.sinceReport++
@@ -224,17 +230,18 @@
 	}
 	if t.cfg.Affinity {
 		for _, h := range r.Prefix {
-			t.prefixes.learn(h, e, assumed)
+			t.prefixes.addHolder(h, e, assumedConfidence)
 		}
 	}
 	t.refresh(e)
 	return e, Picked
 }
 
-func (t *Table) best(now time.Time, r *Request) *Endpoint {
+// bestCandidate returns the candidate with the highest weighted sum of scores, or nil.
+func (t *Table) bestCandidate(now time.Time, r *Request) *Endpoint {
 	var best *Endpoint
 	top := 0.0
-	for _, c := range t.cands {
+	for _, c := range t.candidates {
 		score := 0.0
 		for _, s := range t.cfg.Scorers {
 			score += s.Weight * s.Score(now, r, c)
@@ -246,7 +253,8 @@
 	return best
 }
 
-// Done gives the slot back with what the answer told.
+// Done returns the slot of a request and passes the sample of its answer to the
+// endpoint's limit.
 func (t *Table) Done(now time.Time, e *Endpoint, r *Request, s limit.Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -260,18 +268,18 @@
 	}
 }
 
-// Cached notes how much of the prefix an answer said was cached: hit blocks of r.Prefix.
+// Cached records that an answer reported the first `hit` blocks of r.Prefix as cached.
 func (t *Table) Cached(e *Endpoint, r *Request, hit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, h := range r.Prefix {
 		if i < hit {
-			t.prefixes.learn(h, e, confirmed)
+			t.prefixes.addHolder(h, e, confirmedConfidence)
 		}
 	}
 }
 
-// Names returns the pool's endpoints, sorted.
+// Names returns the sorted names of the pool's endpoints.
 func (t *Table) Names(poolName string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -287,7 +295,8 @@
 	return names
 }
 
-func (p *pool) miss() Miss {
+// missReason returns the reason why no endpoint of the pool was picked.
+func (p *pool) missReason() Miss {
 	for _, set := range p.open {
 		if len(set) > 0 {
 			return MissFiltered
