--- a/policy/admission/account.go
+++ b/policy/admission/account.go
@@ -81,7 +81,7 @@
 	return w
 }
 
-func (a *account) queued() int {
+func (a *account) itemCount() int {
 	n := 0
 	for _, q := range a.queues {
 		n += len(q)
--- a/policy/admission/choose.go
+++ b/policy/admission/choose.go
@@ -91,7 +91,7 @@
 	least := idleUsage * q.est.size
 	q.activeWeight = 0
 	for _, a := range q.accounts {
-		if a.queued() > 0 || a.usage.value(now) > least {
+		if a.itemCount() > 0 || a.usage.value(now) > least {
 			q.activeWeight += a.weight
 		}
 	}
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -224,7 +224,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.accounts[name]
-	if a == nil || a.queued() > 0 {
+	if a == nil || a.itemCount() > 0 {
 		return
 	}
 	delete(q.accounts, name)
@@ -241,7 +241,7 @@
 		a = &account{name: it.Account, weight: weight}
 		q.accounts[it.Account] = a
 	}
-	if a.weight != weight && a.queued() == 0 {
+	if a.weight != weight && a.itemCount() == 0 {
 		// A changed weight takes effect once the account has no queued items, so that the
 		// sums of weights stay consistent.
 		a.weight = weight
@@ -251,7 +251,7 @@
 
 // push adds an item to its account's queue.
 func (q *Queue) push(a *account, w *queuedItem) {
-	if a.queued() == 0 {
+	if a.itemCount() == 0 {
 		a.backlogIndex = len(q.backlog)
 		q.backlog = append(q.backlog, a)
 	}
@@ -271,7 +271,7 @@
 	if len(a.queues[class]) == 0 {
 		q.waitingWeights[class] -= a.weight
 	}
-	if a.queued() == 0 {
+	if a.itemCount() == 0 {
 		last := q.backlog[len(q.backlog)-1]
 		q.backlog[a.backlogIndex] = last
 		last.backlogIndex = a.backlogIndex
