--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -1,111 +1,115 @@
-// Package limit finds how many requests one endpoint bears at once.
+// Package limit adapts the number of requests that one endpoint runs at once.
 //
-// Load pattern: an endpoint whose configured slots promise more than it holds
-// (long prompts fill the memory of its cache and it starts to preempt and
-// recompute), one that slows down, and one that comes back in cold start.
+// The limit covers an endpoint that supports fewer requests than its configured slots
+// (long prompts fill the memory of its cache, and it preempts and recomputes requests),
+// an endpoint that slows down, and one that returns in cold start.
 //
-// Without it: all configured slots stay filled, the endpoint's total throughput
-// falls with each further request, and answers miss their deadlines although
-// the endpoint is never idle; after a cold start the queue is emptied into an
-// endpoint that bears two requests.
+// Without an adaptive limit, all configured slots stay filled, the total throughput of
+// the endpoint falls with each further request, and answers miss their deadlines
+// although the endpoint is never idle. After a cold start, the queue would be emptied
+// into an endpoint that can run two requests.
 //
-// The limit is additive-increase, multiplicative-decrease on two signals: the
-// endpoint's own refusals, and the time per unit of work against the best that
-// was measured lately. After a cold start it grows by one a success, as in slow
-// start, until the first sign of congestion. The configured slots are the upper
-// bound; what is dealt to this VM of them is the caller's to set.
+// The limit uses additive increase and multiplicative decrease on two signals: refusals
+// by the endpoint, and the time per unit of work compared to the best recent value.
+// After a cold start it rises by one per success, as in slow start, until the first
+// sign of congestion. The upper bound is the share of the configured slots that the
+// owner of the limit assigns to this VM.
 //
-// A Limit is not safe for concurrent use: its owner (picker.Table) locks.
+// A Limit is not safe for concurrent use; its owner (picker.Table) holds a lock.
 package limit
 
 import "time"
 
 const (
-	// DefaultTolerance is how far the time per unit may rise over its best
-	// before the limit falls. A continuous batch at its full slots takes 1.5
-	// times as long as an idle engine in the model of policy/loadtest, so 2
-	// leaves a third for noise; 0 turns the signal off.
+	// DefaultTolerance is the factor by which the time per unit of work may exceed its
+	// best before the limit falls. A continuous batch at its full slots takes 1.5 times
+	// as long as an idle engine in the model of policy/loadtest, so 2 leaves a third for
+	// noise. 0 disables the latency signal.
 	DefaultTolerance = 2.0
-	// latencyDecrease and refusalDecrease are the factors of a step down. A
-	// refusal is certain and cheap, a slow answer is a guess, hence the gentler one.
+	// latencyDecrease and refusalDecrease are the factors of a decrease. A slow answer is
+	// only an indication of congestion, so its decrease is gentler; a refusal is certain
+	// and costs little.
 	latencyDecrease = 0.85
 	refusalDecrease = 0.7
-	// shortGain is the weight of a sample in the running time per unit: about the
-	// last three answers. One VM gets an answer of one endpoint every few seconds;
-	// with the last ten, a limit took longer to find than the pattern lasted (goodput
-	// of norte's memory pattern 41% instead of 47%).
-	shortGain = 0.3
-	// baseGain is the weight of a sample below the best: quick, since an endpoint that
-	// fills up within a second shows few of them, but not whole, since one may be wrong.
-	baseGain = 0.5
-	// baseRise lets the best time per unit grow by 0.2% a second, so that a lasting
-	// change (longer prompts, a new adapter) is the new best after some minutes. At 1%
-	// an overload of a minute became the new best and the limit rose into it.
-	baseRise = 0.002
-	// minWarm is the least limit of a warm endpoint to which any slot was dealt: one
-	// request, and a pause of three times its latency after it. With none, no sample
-	// would ever raise it again.
-	minWarm = 0.25
-	// noticeable is the least extra time an answer that counts as congestion. Answers
-	// of a millisecond vary by more than the tolerance for want of a processor; taken
-	// as congestion, that throttled an idle service to ten calls a second. 20 ms is
-	// half of the letter's 42 ms between tokens, and beyond what scheduling adds.
-	noticeable = 20 * time.Millisecond
-	// maxPause bounds the pause after a very slow answer: an endpoint that has
-	// recovered must be found out.
+	// meanGain is the weight of a sample in the mean time per unit, which averages over
+	// about three answers. One VM gets an answer from one endpoint every few seconds. An
+	// average over ten answers adapts too slowly to short bottlenecks (goodput of 41%
+	// instead of 47% when the memory of the endpoints is full).
+	meanGain = 0.3
+	// bestGain is the weight of a sample below the best time per unit. It is high, since
+	// an endpoint that fills up within a second gives few such samples, but below one,
+	// since a single sample may be wrong.
+	bestGain = 0.5
+	// bestRisePerSecond raises the best time per unit by 0.2% per second, so that a
+	// lasting change (longer prompts, a new adapter) becomes the new best after some
+	// minutes. With 1%, an overload of a minute becomes the new best, and the limit rises
+	// during the overload.
+	bestRisePerSecond = 0.002
+	// minWarmLimit is the minimum limit of a warm endpoint with at least one assigned
+	// slot: one request, followed by a pause of three times its latency. With a limit of
+	// zero, no sample would ever raise it again.
+	minWarmLimit = 0.25
+	// minExcess is the minimum extra time of an answer that counts as congestion. Answers
+	// of a millisecond vary by more than the tolerance because of processor scheduling;
+	// if that counted as congestion, an idle service would be throttled to ten calls a
+	// second. 20 ms is half of the 42 ms between two tokens of a stream, and more than
+	// scheduling adds.
+	minExcess = 20 * time.Millisecond
+	// maxPause bounds the pause after a very slow answer, so that a recovered endpoint is
+	// noticed.
 	maxPause = 15 * time.Second
-	// smallStep is the rise for an answer while the limit is below one request.
-	smallStep = 0.1
+	// fractionalStep is the increase per answer while the limit is below one request.
+	fractionalStep = 0.1
 )
 
-// Bounds are this VM's part of the endpoint's slots.
+// Bounds are the slots of the endpoint that are assigned to this VM.
 type Bounds struct {
-	// Slots is the upper bound when warm, in requests.
+	// Slots is the upper bound of a warm endpoint, in requests.
 	Slots int
-	// Cold is the upper bound in cold start, in requests; 0 sends none from this VM.
+	// Cold is the upper bound during cold start, in requests. With 0 this VM sends none.
 	Cold int
 }
 
-// Config sets how the limit moves.
+// Config configures how the limit changes.
 type Config struct {
-	// Tolerance is DefaultTolerance, or 0 to move on refusals alone.
+	// Tolerance is DefaultTolerance, or 0 to react to refusals alone.
 	Tolerance float64
-	// Fixed keeps the limit at its bounds whatever is measured.
+	// Fixed keeps the limit at its bounds regardless of the samples.
 	Fixed bool
 }
 
-// DefaultConfig is the configuration that docs/DECISIONS.md measures.
+// DefaultConfig is the configuration used for the measurements in docs/DECISIONS.md.
 var DefaultConfig = Config{Tolerance: DefaultTolerance}
 
-// Sample is what one finished request tells about its endpoint.
+// Sample is the result of one finished request, as a signal about its endpoint.
 type Sample struct {
 	// Latency is the time from dispatch to the end of the answer.
 	Latency time.Duration
-	// Size is the work that it took by the answer's own account (tokens made, and
-	// prompt tokens that were not cached); not above 0 takes the latency as no signal.
+	// Size is the work that the request took according to its answer: generated tokens,
+	// and prompt tokens that were not cached. With 0 or less, the latency is ignored.
 	Size float64
-	// Refused says that the endpoint was full.
+	// Refused means that the endpoint was full.
 	Refused bool
-	// Failed says that the answer failed; its latency tells nothing.
+	// Failed means that the answer failed. Its latency is ignored.
 	Failed bool
 }
 
 // Limit is the concurrency limit of one endpoint as seen by one VM.
 type Limit struct {
-	cfg      Config
-	bounds   Bounds
-	cold     bool
-	starting bool    // slow start: no congestion since the cold start
-	current  float64 // the limit when warm
-	inFlight int
-	base     float64   // best seconds per unit lately
-	baseAt   time.Time // when base was last aged
-	short    float64   // running seconds per unit
-	lastDown time.Time // one step down a running latency at most
-	lastLat  time.Duration
+	cfg          Config
+	bounds       Bounds
+	cold         bool
+	slowStart    bool    // no congestion since the cold start
+	current      float64 // the limit when warm
+	inFlight     int
+	bestPerUnit  float64   // best recent seconds per unit
+	bestAgedAt   time.Time // when bestPerUnit was last raised
+	meanPerUnit  float64   // exponentially weighted mean of seconds per unit
+	lastDecrease time.Time // at most one decrease per latency
+	lastLatency  time.Duration
 }
 
-// New returns a warm limit at its upper bound, or a cold one.
+// New returns a warm limit at its upper bound, or a limit in cold start.
 func New(cfg Config, bounds Bounds, cold bool) *Limit {
 	l := &Limit{cfg: cfg, bounds: bounds, current: float64(bounds.Slots)}
 	if cold {
@@ -114,34 +118,35 @@
 	return l
 }
 
-// SetBounds changes the dealt slots. A smaller share is in force at once: what
-// runs above it drains, nothing new starts.
+// SetBounds changes the assigned slots. A smaller bound takes effect at once: requests
+// above it finish, and no new ones start.
 func (l *Limit) SetBounds(b Bounds) {
-	if !l.starting && l.current >= float64(l.bounds.Slots) {
+	if !l.slowStart && l.current >= float64(l.bounds.Slots) {
 		l.current = float64(b.Slots)
 	}
 	l.bounds = b
 	l.clamp()
 }
 
-// SetCold puts the endpoint in cold start, or ends it. Cold takes effect with the
-// next Acquire. The end of it starts from the cold bound, not from the old limit:
-// an engine that just loaded has an empty cache and nothing measured.
+// SetCold starts or ends the cold start of the endpoint. The cold bound takes effect with
+// the next Acquire. At the end of the cold start, the limit starts from the cold bound
+// instead of its previous value, since a newly loaded engine has an empty cache and no
+// samples.
 func (l *Limit) SetCold(cold bool) {
 	if cold == l.cold {
 		return
 	}
 	l.cold = cold
-	l.starting = true
+	l.slowStart = true
 	l.current = float64(l.bounds.Cold)
-	l.base, l.short = 0, 0
+	l.bestPerUnit, l.meanPerUnit = 0, 0
 	l.clamp()
 }
 
 // Cold reports whether the endpoint is in cold start.
 func (l *Limit) Cold() bool { return l.cold }
 
-// Current is the number of requests that may run at once now.
+// Current returns the number of requests that may run at once.
 func (l *Limit) Current() int {
 	switch {
 	case l.cold:
@@ -155,19 +160,20 @@
 	return max(int(l.current), 1)
 }
 
-// Pause is how long to leave the endpoint alone after the last request, when the
-// limit is below one: several VMs with one request each may be more than it holds.
+// Pause returns how long the endpoint is to get no requests after the last one. It is
+// above zero when the limit is below one: with one request from each of several VMs, the
+// endpoint may be overloaded.
 func (l *Limit) Pause() time.Duration {
 	if l.cold || l.cfg.Fixed || l.inFlight > 0 || l.current >= 1 || l.current <= 0 {
 		return 0
 	}
-	return min(time.Duration((1/l.current-1)*float64(l.lastLat)), maxPause)
+	return min(time.Duration((1/l.current-1)*float64(l.lastLatency)), maxPause)
 }
 
-// InFlight is the number of requests that hold a slot.
+// InFlight returns the number of requests that hold a slot.
 func (l *Limit) InFlight() int { return l.inFlight }
 
-// Acquire takes a slot, or reports that there is none.
+// Acquire takes a slot. It reports false if none is free.
 func (l *Limit) Acquire() bool {
 	if l.inFlight >= l.Current() {
 		return false
@@ -176,7 +182,7 @@
 	return true
 }
 
-// Release gives the slot back and learns from the sample.
+// Release returns a slot and adjusts the limit by the sample.
 func (l *Limit) Release(now time.Time, s Sample) {
 	full := l.inFlight >= l.Current()
 	if l.inFlight > 0 {
@@ -184,75 +190,79 @@
 	}
 	switch {
 	case s.Refused:
-		l.down(now, refusalDecrease)
+		l.decrease(now, refusalDecrease)
 	case s.Failed || l.cold || l.cfg.Fixed:
-		// A failure's latency says nothing, and neither does that of a cold engine.
+		// The latencies of failed answers and of cold engines are no signal.
 	default:
-		l.answered(now, s, full)
+		l.applyAnswer(now, s, full)
 	}
 	l.clamp()
 }
 
-func (l *Limit) answered(now time.Time, s Sample, full bool) {
-	if l.learn(now, s) {
-		l.down(now, latencyDecrease)
+// applyAnswer adjusts the limit by a successful answer. full means that all slots were
+// taken before the release.
+func (l *Limit) applyAnswer(now time.Time, s Sample, full bool) {
+	if l.detectCongestion(now, s) {
+		l.decrease(now, latencyDecrease)
 		return
 	}
-	if l.starting {
+	if l.slowStart {
 		l.current++
 		return
 	}
 	if full {
-		// One more for each limit's worth of answers while the limit is what holds
-		// work back; an idle endpoint proves nothing about a higher limit.
+		// The limit rises by one per `current` answers while it is what delays work.
+		// Answers of a partly idle endpoint give no evidence for a higher limit.
 		if l.current < 1 {
-			l.current += smallStep
+			l.current += fractionalStep
 		} else {
 			l.current += 1 / l.current
 		}
 	}
 }
 
-// learn takes the sample into the running time per unit and reports congestion.
-func (l *Limit) learn(now time.Time, s Sample) bool {
-	l.lastLat = s.Latency
+// detectCongestion adds the sample to the mean and best time per unit and reports whether
+// it shows congestion.
+func (l *Limit) detectCongestion(now time.Time, s Sample) bool {
+	l.lastLatency = s.Latency
 	if s.Size <= 0 || l.cfg.Tolerance <= 0 {
 		return false
 	}
 	perUnit := s.Latency.Seconds() / s.Size
-	if l.base == 0 {
-		l.base, l.short, l.baseAt = perUnit, perUnit, now
+	if l.bestPerUnit == 0 {
+		l.bestPerUnit, l.meanPerUnit, l.bestAgedAt = perUnit, perUnit, now
 		return false
 	}
-	l.short += shortGain * (perUnit - l.short)
-	l.base *= 1 + baseRise*now.Sub(l.baseAt).Seconds()
-	l.baseAt = now
-	l.base = min(l.base, l.short)
-	if perUnit < l.base {
-		l.base += baseGain * (perUnit - l.base)
+	l.meanPerUnit += meanGain * (perUnit - l.meanPerUnit)
+	l.bestPerUnit *= 1 + bestRisePerSecond*now.Sub(l.bestAgedAt).Seconds()
+	l.bestAgedAt = now
+	l.bestPerUnit = min(l.bestPerUnit, l.meanPerUnit)
+	if perUnit < l.bestPerUnit {
+		l.bestPerUnit += bestGain * (perUnit - l.bestPerUnit)
 	}
-	excess := seconds((l.short - l.base) * s.Size)
-	return l.short > l.cfg.Tolerance*l.base && excess > noticeable
+	excess := seconds((l.meanPerUnit - l.bestPerUnit) * s.Size)
+	return l.meanPerUnit > l.cfg.Tolerance*l.bestPerUnit && excess > minExcess
 }
 
-// down lowers the limit once for a latency's worth of time: the answers that were
-// already under way when it fell carry the same news again.
-func (l *Limit) down(now time.Time, factor float64) {
-	l.starting = false
-	if now.Sub(l.lastDown) < l.lastLat {
+// decrease lowers the limit at most once per latency, since the answers already in flight
+// at a decrease report the same congestion again.
+func (l *Limit) decrease(now time.Time, factor float64) {
+	l.slowStart = false
+	if now.Sub(l.lastDecrease) < l.lastLatency {
 		return
 	}
-	l.lastDown = now
+	l.lastDecrease = now
 	l.current *= factor
 }
 
+// clamp restricts the limit to the range from minWarmLimit to the assigned slots.
 func (l *Limit) clamp() {
 	top := float64(l.bounds.Slots)
 	if l.current >= top {
 		l.current = top
-		l.starting = false
+		l.slowStart = false
 	}
-	l.current = max(l.current, min(minWarm, top))
+	l.current = max(l.current, min(minWarmLimit, top))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -10,12 +10,12 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func ok(latency time.Duration) Sample { return Sample{Latency: latency, Size: 1} }
+func answer(latency time.Duration) Sample { return Sample{Latency: latency, Size: 1} }
 
-// TestColdAtOnce: an endpoint restarts without warning while its slots are full.
-// From that moment nothing starts above what it bears cold; when it is warm again
-// it is filled step by step.
-func TestColdAtOnce(t *testing.T) {
+// TestColdStartLimitsAtOnce covers an endpoint that restarts without warning while its
+// slots are full. From then on no request may start above the cold bound; after the cold
+// start the limit rises step by step.
+func TestColdStartLimitsAtOnce(t *testing.T) {
 	l := New(DefaultConfig, Bounds{Slots: 8, Cold: 1}, false)
 	for range 8 {
 		require.True(t, l.Acquire())
@@ -23,15 +23,15 @@
 	l.SetCold(true)
 	for range 8 {
 		require.False(t, l.Acquire())
-		l.Release(start, ok(time.Second))
+		l.Release(start, answer(time.Second))
 	}
 	require.True(t, l.Acquire())
 	require.False(t, l.Acquire())
 	l.SetCold(false)
 	require.Equal(t, 1, l.Current())
 	for want := 2; want <= 8; want++ {
-		l.Release(start, ok(time.Second))
-		require.Equal(t, want, l.Current(), "one more a success")
+		l.Release(start, answer(time.Second))
+		require.Equal(t, want, l.Current(), "one more per success")
 		require.True(t, l.Acquire())
 	}
 }
@@ -40,10 +40,10 @@
 	l := New(DefaultConfig, Bounds{Slots: 2, Cold: 0}, true)
 	require.False(t, l.Acquire())
 	l.SetCold(false)
-	require.True(t, l.Acquire(), "a warm endpoint gets at least one, or nothing would be learned")
+	require.True(t, l.Acquire(), "a warm endpoint gets at least one request, or there would be no samples")
 }
 
-// TestSignals: what moves the limit, from 10 of 20 slots.
+// TestSignals checks which samples change the limit, starting at 10 of 20 slots.
 func TestSignals(t *testing.T) {
 	cases := []struct {
 		name string
@@ -52,18 +52,18 @@
 		want func(t *testing.T, before, after int)
 	}{
 		{"refusal", DefaultConfig, Sample{Refused: true, Latency: time.Millisecond}, lower},
-		{"four times as slow", DefaultConfig, ok(4 * time.Second), lower},
-		{"as usual", DefaultConfig, ok(time.Second), higher},
-		{"slow, signal off", Config{}, ok(4 * time.Second), higher},
-		{"slow, fixed", Config{Fixed: true}, ok(4 * time.Second), same},
-		{"failures say nothing", DefaultConfig, Sample{Failed: true, Latency: time.Minute, Size: 1}, same},
+		{"four times as slow", DefaultConfig, answer(4 * time.Second), lower},
+		{"as usual", DefaultConfig, answer(time.Second), higher},
+		{"slow, signal off", Config{}, answer(4 * time.Second), higher},
+		{"slow, fixed", Config{Fixed: true}, answer(4 * time.Second), same},
+		{"failures are ignored", DefaultConfig, Sample{Failed: true, Latency: time.Minute, Size: 1}, same},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l := New(c.cfg, Bounds{Slots: 10}, false)
 			now := start
 			l.Acquire()
-			l.Release(now, ok(time.Second))
+			l.Release(now, answer(time.Second))
 			l.bounds.Slots = 20
 			before := l.Current()
 			for range 40 {
@@ -77,35 +77,37 @@
 	}
 }
 
-// TestBelowOne: an endpoint holds fewer requests than there are VMs. Each VM lowers
-// its limit below one, which is a pause after each request, and no more than a quarter.
-func TestBelowOne(t *testing.T) {
+// TestPauseBelowOneRequest covers an endpoint that can run fewer requests than there are
+// VMs. Each VM lowers its limit below one request, down to a quarter, which causes a
+// pause after each request.
+func TestPauseBelowOneRequest(t *testing.T) {
 	l := New(DefaultConfig, Bounds{Slots: 1, Cold: 1}, false)
 	now, latency := start, time.Second
 	for range 30 {
 		require.True(t, l.Acquire())
-		require.Zero(t, l.Pause(), "while one runs")
+		require.Zero(t, l.Pause(), "no pause while a request runs")
 		now = now.Add(latency)
-		l.Release(now, ok(latency))
+		l.Release(now, answer(latency))
 		latency = 4 * time.Second
 	}
 	require.Equal(t, 12*time.Second, l.Pause())
 	for range 30 {
 		l.Acquire()
-		l.Release(now, ok(time.Second))
+		l.Release(now, answer(time.Second))
 	}
 	require.Zero(t, l.Pause())
 	l.Release(now, Sample{Refused: true})
 	l.SetCold(true)
-	require.Zero(t, l.Pause(), "a cold endpoint has its own limit")
+	require.Zero(t, l.Pause(), "a cold endpoint uses the cold bound")
 }
 
 func lower(t *testing.T, before, after int)  { require.Less(t, after, before) }
 func higher(t *testing.T, before, after int) { require.Greater(t, after, before) }
 func same(t *testing.T, before, after int)   { require.GreaterOrEqual(t, after, before) }
 
-// TestWithinBounds: whatever is measured, no more is in flight than was dealt when
-// it was acquired, and a warm endpoint with a slot is never shut out for good.
+// TestWithinBounds checks for random samples that no more requests are in flight than
+// were assigned when they started, and that a warm endpoint with a slot always admits a
+// request.
 func TestWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := Bounds{Slots: rapid.IntRange(0, 20).Draw(t, "slots"), Cold: rapid.IntRange(0, 3).Draw(t, "cold")}
@@ -141,10 +143,10 @@
 	})
 }
 
-// Calls of a plain service take a millisecond, some of them five. Nobody notices;
-// but taken for congestion, the limit fell to its least within seconds, and an idle
-// service answered ten callers a second.
-func TestShortAnswersThatVaryAreNoCongestion(t *testing.T) {
+// TestJitterOfShortAnswersIsNoCongestion covers a service whose calls take one
+// millisecond, some of them five. If this jitter counted as congestion, the limit would
+// fall to its minimum within seconds and throttle an idle service to ten calls a second.
+func TestJitterOfShortAnswersIsNoCongestion(t *testing.T) {
 	l := New(DefaultConfig, Bounds{Slots: 8}, false)
 	now := time.Unix(0, 0)
 	for i := range 2000 {
