--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -1,16 +1,15 @@
-// Package retry decides whether a failed attempt is made again, and whether a
-// slow one is hedged.
+// Package retry decides whether a failed attempt is repeated and whether a slow one is
+// hedged.
 //
-// Load pattern: an endpoint or a whole pool fails while traffic goes on.
+// The package covers an endpoint or a whole pool that fails while requests keep arriving.
+// Without a bound, each request to a failing pool is sent two or three more times. The
+// load on the remaining endpoints doubles or triples when their capacity is lowest, and
+// the pool does not recover (a retry storm).
 //
-// Without it: each request of a failing pool is sent two or three times more, so
-// that the load on what is left doubles or triples at the moment of its least
-// capacity, and the pool doesn't come back (a retry storm).
-//
-// Extra work is paid from a budget: first attempts pay Ratio of their size in, a
-// retry or hedge takes its whole size out. There is one balance an account and
-// one for the pool, and both must be in credit, so that one account's failures
-// do not use up the retries of the others.
+// Extra work is paid from a budget. A first attempt adds Ratio of its size, and a retry
+// or hedge takes its whole size. Each account and the pool have a balance, and both
+// must be positive, so that the failures of one account do not use up the retries of
+// the others.
 package retry
 
 import (
@@ -20,39 +19,43 @@
 )
 
 const (
-	// Ratio is the extra work allowed: at most 10% of first attempts in any failure.
+	// Ratio is the allowed extra work: at most 10% of the first attempts under any
+	// failure.
 	Ratio = 0.1
-	// maxBalance bounds what a quiet time saves up, in mean requests: enough for
-	// the requests in flight on one endpoint to go elsewhere when it dies (16 slots
-	// of the runners of model-ierburi).
+	// maxBalance bounds the balance saved up while few requests fail, in mean requests.
+	// It is enough to move the requests in flight on one endpoint, with 16 slots, to
+	// others when it dies.
 	maxBalance = 16.0
-	// startBalance lets a new account retry before its first ten requests, in mean requests.
-	startBalance = 2.0
-	// hedgeReserve is the share of maxBalance that hedges leave in the pool's balance
-	// for retries: a hedge only makes an answer faster, a retry saves it.
+	// initialBalance lets a new account retry before its first ten requests, in mean
+	// requests.
+	initialBalance = 2.0
+	// hedgeReserve is the share of maxBalance that hedges leave in the pool's balance for
+	// retries: a hedge only makes an answer faster, whereas a retry saves it.
 	hedgeReserve = 0.5
-	// baseBackoff is the first retry's mean delay. Another endpoint is asked, so it
-	// need only be long enough to part retries of requests that failed together.
+	// baseBackoff is the mean delay of the first retry. The retry goes to another
+	// endpoint, so the delay only needs to separate the retries of requests that failed
+	// together.
 	baseBackoff = 20 * time.Millisecond
-	// maxBackoff bounds the delay's growth.
+	// maxBackoff is the maximum mean delay of a retry.
 	maxBackoff = time.Second
-	// MaxAttempts is the number of dispatches of one request, the first included.
-	// Two failures on distinct endpoints say more about the pool than about an endpoint.
+	// MaxAttempts is the maximum number of dispatches of one request, including the
+	// first. After two failures on different endpoints, the pool is a more likely cause
+	// than an endpoint.
 	MaxAttempts = 3
-	// MaxHops is how often a request may be forwarded from VM to VM: once to the VM
-	// with the free slot, and once more when that slot was just taken.
+	// MaxHops is the maximum number of forwards of a request between VMs: one to the VM
+	// with a free slot, and one more if that slot is taken in the meantime.
 	MaxHops = 2
-	// hedgeFactor is how many times its expected length an attempt takes before a
-	// second one starts beside it. An answer takes 1.5 times as long at full slots; one
-	// in a hundred of those at healthy endpoints reaches 2.
+	// hedgeFactor is the multiple of its expected time after which an attempt is hedged.
+	// An answer takes 1.5 times as long at full slots, and one in a hundred of those at
+	// healthy endpoints reaches 2.
 	hedgeFactor = 2.0
-	// hedgeLeast keeps requests that take milliseconds from being hedged at all.
-	hedgeLeast = 100 * time.Millisecond
+	// minHedgeDelay prevents hedges of requests that take milliseconds.
+	minHedgeDelay = 100 * time.Millisecond
 	// meanGain is the weight of a request in the running mean size.
 	meanGain = 0.02
 )
 
-// Reason tells why an attempt isn't repeated.
+// Reason is the reason why an attempt is not repeated.
 type Reason string
 
 // The reasons not to repeat an attempt.
@@ -70,20 +73,22 @@
 type Attempt struct {
 	Account    string
 	Idempotent bool
-	// Made is how many dispatches were made so far, this one included.
+	// Made is the number of dispatches so far, including this one.
 	Made int
-	// Hops is how often the request was forwarded between VMs.
+	// Hops is the number of times the request was forwarded between VMs.
 	Hops int
-	// Size is the expected work in the caller's units.
+	// Size is the expected work, in the unit that the caller uses for all attempts.
 	Size float64
-	// Deadline is the request's; Expected is how long a new attempt takes.
+	// Deadline is the deadline of the request. Expected is the expected time of a new
+	// attempt.
 	Deadline time.Time
 	Expected time.Duration
-	// Hedge asks for a second attempt beside a slow first one.
+	// Hedge requests a second attempt in parallel to a slow first one.
 	Hedge bool
 }
 
-// Decision says whether to dispatch again; the caller excludes the endpoints already tried.
+// Decision is the answer to whether an attempt is repeated. The caller excludes the
+// endpoints already tried.
 type Decision struct {
 	Again bool
 	// After is the delay before the dispatch.
@@ -92,7 +97,8 @@
 	Reason Reason
 }
 
-// Budget holds the balances of one pool. It is safe for concurrent use; its mutex is a leaf.
+// Budget holds the balances of one pool. It is safe for concurrent use. Its mutex is a
+// leaf of the lock order.
 type Budget struct {
 	mu       sync.Mutex
 	ratio    float64
@@ -101,33 +107,35 @@
 	accounts map[string]float64
 }
 
-// New returns a budget that pays ratio of first attempts into retries.
+// New returns a budget to which each first attempt adds `ratio` of its size.
 func New(ratio float64) *Budget {
 	return &Budget{ratio: ratio, accounts: make(map[string]float64)}
 }
 
-// First pays in for a first attempt, when it is dispatched: one that was refused
-// before did no work that a tenth could be taken of.
+// First adds to the balances for a first attempt when it is dispatched. Requests refused
+// before a dispatch are not counted, since they cause no work of which a share could be
+// added.
 func (b *Budget) First(account string, size float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.mean == 0 {
 		b.mean = size
-		b.pool = startBalance * size
+		b.pool = initialBalance * size
 	}
 	b.mean += meanGain * (size - b.mean)
 	balance, known := b.accounts[account]
 	if !known {
-		balance = startBalance * size
+		balance = initialBalance * size
 	}
 	top := maxBalance * b.mean
 	b.accounts[account] = min(balance+b.ratio*size, top)
 	b.pool = min(b.pool+b.ratio*size, top)
 }
 
-// Decide takes the work of another attempt out of the budget, or says why not.
+// Decide takes the work of another attempt out of the budget, or returns the reason why
+// the attempt is not repeated.
 func (b *Budget) Decide(now time.Time, rng *rand.Rand, a Attempt) Decision {
-	if reason := allowed(a); reason != ReasonNone {
+	if reason := disallowedReason(a); reason != ReasonNone {
 		return Decision{Reason: reason}
 	}
 	after := backoff(rng, a)
@@ -140,23 +148,25 @@
 	return Decision{Again: true, After: after}
 }
 
-// HedgeAfter is when to ask Decide for a hedge of an attempt, from its start: when
-// it takes twice as long as expected, or earlier when a second attempt would then
-// have too little time, but never before the first had the time it should take.
+// HedgeAfter returns the time from the start of an attempt after which Decide is to be
+// asked for a hedge: twice the expected time, or earlier if a second attempt would then
+// have too little time left, but not before the expected time has passed.
 func HedgeAfter(expected, left time.Duration) time.Duration {
 	after := time.Duration(hedgeFactor * float64(expected))
 	after = min(after, max(left-expected, expected))
-	return max(after, hedgeLeast)
+	return max(after, minHedgeDelay)
 }
 
-// Forget drops an account that configuration no longer has.
+// Forget removes an account that is no longer configured.
 func (b *Budget) Forget(account string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.accounts, account)
 }
 
-func allowed(a Attempt) Reason {
+// disallowedReason returns the reason that rules out another attempt regardless of the
+// budget, or ReasonNone.
+func disallowedReason(a Attempt) Reason {
 	switch {
 	case !a.Idempotent:
 		return ReasonNotIdempotent
@@ -168,7 +178,7 @@
 	return ReasonNone
 }
 
-// backoff is exponential with full jitter; a hedge starts at once.
+// backoff returns an exponential delay with full jitter, or 0 for a hedge.
 func backoff(rng *rand.Rand, a Attempt) time.Duration {
 	if a.Hedge {
 		return 0
@@ -177,20 +187,21 @@
 	return time.Duration(rng.Int64N(int64(2 * mean)))
 }
 
-// withdraw overdraws by one attempt at most: a balance that must cover a large
-// request first would keep it from ever being repeated, and the debt is paid before
-// the next one.
+// withdraw takes the size of an attempt out of both balances if they are positive. A
+// balance may be overdrawn by one attempt: if it had to cover the whole size, a large
+// request might never be repeated. The debt is paid before the next attempt. A hedge
+// must also leave hedgeReserve in the pool's balance.
 func (b *Budget) withdraw(a Attempt) Reason {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	keep := 0.0
+	reserved := 0.0
 	if a.Hedge {
-		keep = hedgeReserve * maxBalance * b.mean
+		reserved = hedgeReserve * maxBalance * b.mean
 	}
 	if b.accounts[a.Account] <= 0 {
 		return ReasonAccountBudget
 	}
-	if b.pool <= keep {
+	if b.pool <= reserved {
 		return ReasonPoolBudget
 	}
 	b.accounts[a.Account] -= a.Size
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestExtraWork: all attempts fail. However long that lasts and whoever sends, the
-// repeated work stays within a tenth of the first attempts, but for what the budget
-// starts with and one overdraft.
+// TestExtraWork guards against retry storms. All attempts fail, and the repeated work
+// must stay within a tenth of the first attempts, plus the initial balance and one
+// overdraft, regardless of the duration and the accounts.
 func TestExtraWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Ratio)
@@ -58,7 +58,7 @@
 			a.Size = rapid.Float64Range(0.1, 10).Draw(t, "size")
 			b.First(a.Account, a.Size)
 			if first == 0 {
-				top = startBalance * a.Size
+				top = initialBalance * a.Size
 			}
 			first += a.Size
 			largest = max(largest, a.Size)
@@ -73,7 +73,7 @@
 
 func TestHedgeAfter(t *testing.T) {
 	require.Equal(t, 2*time.Second, HedgeAfter(time.Second, time.Minute))
-	require.Equal(t, 1500*time.Millisecond, HedgeAfter(time.Second, 2500*time.Millisecond), "in time for a second attempt")
-	require.Equal(t, time.Second, HedgeAfter(time.Second, time.Second), "not before the first had its time")
-	require.Equal(t, hedgeLeast, HedgeAfter(time.Millisecond, time.Minute))
+	require.Equal(t, 1500*time.Millisecond, HedgeAfter(time.Second, 2500*time.Millisecond), "early enough for a second attempt")
+	require.Equal(t, time.Second, HedgeAfter(time.Second, time.Second), "not before the first attempt's expected time")
+	require.Equal(t, minHedgeDelay, HedgeAfter(time.Millisecond, time.Minute))
 }
--- a/policy/retry/window_test.go
+++ b/policy/retry/window_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every request fails, at seven VMs with unlike loads that hear nothing of each other,
-// and each failure asks for two more attempts. Over any window of all VMs together the
-// extra attempts stay within the ratio and the slack.
+// TestWindowHoldsOverVMs checks that over any window, summed over seven VMs with
+// different loads and no communication, the extra attempts stay within the ratio and the
+// slack while every request fails and asks for two more attempts.
 func TestWindowHoldsOverVMs(t *testing.T) {
 	const vms, ratio, slack = 7, 0.9, 50.0
 	length := 10 * time.Second
@@ -49,7 +49,8 @@
 	}
 }
 
-// A quiet VM may still send a few requests again: its part of the slack.
+// TestWindowSlack checks that a VM without first attempts may send a few requests again:
+// its part of the slack.
 func TestWindowSlack(t *testing.T) {
 	w := NewWindow(10*time.Second, 0.5, 14)
 	now := time.Unix(100, 0)
