--- a/policy/poison/bench_test.go
+++ b/policy/poison/bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// BenchmarkQuarantined is what each request pays, on a good day and with a table full
-// of suspects.
+// BenchmarkQuarantined measures the check made for each request, with an empty table and
+// with a table full of suspects.
 func BenchmarkQuarantined(b *testing.B) {
 	for _, records := range []int{0, maxRecords} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			t, next := New(9), Fingerprint(0)
 			for range records / 16 {
-				t.Crashed(start, "e0", fresh(&next, 16), 0)
+				t.Crashed(start, "e0", newFingerprints(&next, 16), 0)
 			}
 			f := Fingerprint(0)
 			b.ReportAllocs()
--- a/policy/poison/poison.go
+++ b/policy/poison/poison.go
@@ -1,25 +1,26 @@
-// Package poison finds the request that crashes each endpoint that runs it.
+// Package poison finds requests that crash each endpoint that runs them.
 //
-// Load pattern: one request's input makes the engine crash; it is retried on the
-// next endpoint, and its caller sends it again.
+// Such a request has an input that makes the engine crash. It is retried on the next
+// endpoint, and its caller sends it again. Without quarantine, each dispatch takes an
+// endpoint out of service for its restart and cold start, together with all requests
+// that run there, and a pool of nine endpoints is lost within seconds.
 //
-// Without it: each dispatch takes an endpoint down for its restart and cold
-// start, and with it all requests that ran there; a pool of nine is gone within
-// seconds.
+// A crash distributes one unit of blame over the requests that ran on the endpoint, in
+// proportion to the blame that each already has: a request that was in flight at an
+// earlier crash gets most of it, and the others get little. Three rules keep harmless
+// requests out of quarantine:
 //
-// A crash is blamed on the requests that ran on the endpoint, one unit in all,
-// in proportion to what is held against each already: a request that was there at
-// an earlier crash takes most of it, and those that were there by chance take
-// little. Three things keep innocents out of quarantine:
+//   - Quarantine requires crashes of several different endpoints (DistinctLarge or
+//     DistinctSmall) and Threshold units of blame.
+//   - A suspect, which was in flight at a crash and has not completed since, runs apart
+//     from other suspects, so that one crash never adds blame to two of them. Suspect
+//     serves as a filter when an endpoint is picked.
+//   - When other endpoints crash at about the same time without the request, the pool
+//     itself is failing, and the request's blame counts for less, including the blame
+//     for earlier crashes.
 //
-//   - it takes crashes of Distinct different endpoints and Threshold units of blame;
-//   - a suspect runs apart from other suspects (Suspect, used as a filter when an
-//     endpoint is picked), so that one crash never falls on two of them;
-//   - when other endpoints crash about the same time without the request, it is the
-//     pool that fails, and the request's blame counts for less, also in hindsight.
-//
-// The blame is kept by endpoint and merges by maximum, so that VMs may exchange
-// it in any order and repeatedly.
+// Blame is kept per endpoint and merged by maximum, so that VMs may exchange it in any
+// order and repeatedly.
 package poison
 
 import (
@@ -32,34 +33,38 @@
 )
 
 const (
-	// DistinctLarge is the number of distinct endpoints that a request must have
-	// crashed; DistinctSmall is for pools below smallPool endpoints, which three
-	// crashes would take down (conector has three).
+	// DistinctLarge is the number of different endpoints that a request must have crashed
+	// before it is quarantined. DistinctSmall applies to pools with fewer than
+	// smallPoolSize endpoints, since three crashes would take down a pool of three.
 	DistinctLarge = 3
 	DistinctSmall = 2
-	smallPool     = 8
-	// Threshold is the blame that quarantines. The second crash beside seven fresh
-	// requests brings a true culprit to 0.75, the third beside fifteen to 1.1.
+	smallPoolSize = 8
+	// Threshold is the blame that leads to quarantine. With seven new requests in flight
+	// beside it, a poison request reaches 0.75 at the second crash; with fifteen, it
+	// reaches 1.1 at the third.
 	Threshold = 0.6
-	// freshOdds is what is held against a request never seen at a crash. A suspect of
-	// a crash with eight in flight has odds of 1/8, a fresh one far below: most
-	// requests never crash anything.
-	freshOdds = 0.01
-	// window is the time in which crashes are taken together: a pool that loses its
-	// power or network goes down within it, and a caller's repeats of a poison
-	// request come one after the other.
-	window = 2 * time.Second
-	// forget drops a record after the last crash; a mended engine gets the request again.
-	forget = 10 * time.Minute
-	// maxRecords bounds the table: 12 crashes at once with 16 in flight each, ten times over.
+	// baseOdds is the weight in the distribution of blame of a request that was not in
+	// flight at a crash before. A suspect of a crash with eight requests in flight has
+	// odds of 1/8; a new request has far lower ones, since most requests never crash an
+	// endpoint.
+	baseOdds = 0.01
+	// crashWindow is the time within which crashes count as related. A pool that loses
+	// its power or network fails within it, whereas a caller repeats a poison request one
+	// attempt after the other.
+	crashWindow = 2 * time.Second
+	// recordLifetime is the time after the last crash at which a record is dropped, so
+	// that a repaired engine receives the request again.
+	recordLifetime = 10 * time.Minute
+	// maxRecords bounds the table. It holds ten times the requests of 12 simultaneous
+	// crashes with 16 requests in flight each.
 	maxRecords = 2048
 )
 
-// Fingerprint identifies a request by what it asks.
+// Fingerprint identifies a request by its account, target and body.
 type Fingerprint uint64
 
-// Of returns the fingerprint of a request; account and target (model or service)
-// keep the same body of two accounts apart.
+// Of returns the fingerprint of a request. account and target (a model or service)
+// distinguish equal bodies of different accounts.
 func Of(account, target string, body []byte) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
@@ -73,27 +78,32 @@
 	return Fingerprint(d.Sum64())
 }
 
-// Count is what is held against one request, as VMs exchange it.
+// Count is the record of one request in the form that VMs exchange.
 type Count struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Blame is the units of blame for the crash of each endpoint, by name.
+	// Blame holds the units of blame by the name of the crashed endpoint.
 	Blame map[string]float64 `cbor:"2,keyasint"`
-	// Survived counts the answers that it brought without a crash.
+	// Survived is the number of complete answers to the request.
 	Survived int `cbor:"3,keyasint"`
-	// Unrelated counts the crashes about the same time that it had no part in.
+	// Unrelated is the number of crashes at about the same time on endpoints that did not
+	// run the request.
 	Unrelated int `cbor:"5,keyasint,omitempty"`
-	// Age is the time since the last crash; a duration, since VMs' clocks differ.
+	// Age is the time since the last crash. It is a duration because the clocks of VMs
+	// differ.
 	Age time.Duration `cbor:"4,keyasint"`
 }
 
+// record holds the blame of one request.
 type record struct {
 	blame    map[string]float64
 	survived int
-	// unrelated is the number of crashes within window of its own that it had no part in.
+	// unrelated is the number of crashes within crashWindow of the request's own crashes
+	// that it was not part of.
 	unrelated int
 	last      time.Time
 }
 
+// score returns the sum of the blame, reduced by complete answers and unrelated crashes.
 func (r *record) score() float64 {
 	sum := 0.0
 	for _, b := range r.blame {
@@ -102,85 +112,87 @@
 	return sum / float64((1+r.survived)*(1+r.unrelated))
 }
 
+// crash is a recent crash of an endpoint with the requests that ran there.
 type crash struct {
 	at       time.Time
 	suspects []Fingerprint
 }
 
-// Tracker keeps what is held against the requests of one pool. It is safe for
-// concurrent use; its mutex is a leaf.
+// Tracker records crashes and blame for the requests of one pool. It is safe for
+// concurrent use. Its mutex is a leaf of the lock order.
 type Tracker struct {
-	mu       sync.Mutex
-	distinct int
-	records  map[Fingerprint]*record
-	recent   []crash
+	mu            sync.Mutex
+	minEndpoints  int
+	records       map[Fingerprint]*record
+	recentCrashes []crash
 }
 
-// New returns a tracker for a pool of that many endpoints.
+// New returns a tracker for a pool with the given number of endpoints.
 func New(endpoints int) *Tracker {
 	t := &Tracker{records: make(map[Fingerprint]*record)}
 	t.Resize(endpoints)
 	return t
 }
 
-// Resize follows a change of the pool's size.
+// Resize applies a change of the number of endpoints.
 func (t *Tracker) Resize(endpoints int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.distinct = DistinctLarge
-	if endpoints < smallPool {
-		t.distinct = DistinctSmall
+	t.minEndpoints = DistinctLarge
+	if endpoints < smallPoolSize {
+		t.minEndpoints = DistinctSmall
 	}
 }
 
-// Quarantined reports whether the request is to be refused; it costs one map
-// lookup, in an empty map on most days.
+// Quarantined reports whether the request is to be refused. It costs one map lookup,
+// usually in an empty map.
 func (t *Tracker) Quarantined(now time.Time, f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || now.Sub(r.last) > forget {
+	if r == nil || now.Sub(r.last) > recordLifetime {
 		return false
 	}
-	return len(r.blame) >= t.distinct && r.score() >= Threshold
+	return len(r.blame) >= t.minEndpoints && r.score() >= Threshold
 }
 
-// Suspect reports whether the request was at a crash and has not survived since;
-// it must not share an endpoint with another suspect.
+// Suspect reports whether the request was in flight at a crash and has not completed
+// since. It must not share an endpoint with another suspect.
 func (t *Tracker) Suspect(now time.Time, f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	return r != nil && r.survived == 0 && now.Sub(r.last) <= forget
+	return r != nil && r.survived == 0 && now.Sub(r.last) <= recordLifetime
 }
 
-// Crashed blames the crash of an endpoint on the requests that this VM had in
-// flight there. Blame is kept by the endpoint's name: VMs that saw the same crash
-// count it once, and so does an endpoint that goes down again and again by itself.
-// Others is how many requests of other VMs ran there by the endpoint's last
-// report; they take their part of the blame.
+// Crashed distributes the blame for the crash of an endpoint over the requests that this
+// VM had in flight there. Blame is kept by the name of the endpoint, so that a crash seen
+// by several VMs counts once, and so does an endpoint that crashes repeatedly for its own
+// reasons. others is the number of requests of other VMs that ran there according to the
+// endpoint's last report; they take their part of the blame.
 func (t *Tracker) Crashed(now time.Time, endpoint string, inFlight []Fingerprint, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prune(now)
 	suspects := slices.Compact(slices.Sorted(slices.Values(inFlight)))
-	total := float64(max(others, 0)) * freshOdds
+	total := float64(max(others, 0)) * baseOdds
 	for _, f := range suspects {
 		total += t.odds(f)
 	}
 	for _, f := range suspects {
-		t.blame(now, f, endpoint, t.odds(f)/total)
+		t.addBlame(now, f, endpoint, t.odds(f)/total)
 	}
 	for f, r := range t.records {
-		if _, found := slices.BinarySearch(suspects, f); !found && now.Sub(r.last) <= window {
+		if _, found := slices.BinarySearch(suspects, f); !found && now.Sub(r.last) <= crashWindow {
 			r.unrelated++
 		}
 	}
-	t.recent = append(t.recent, crash{at: now, suspects: suspects})
+	t.recentCrashes = append(t.recentCrashes, crash{at: now, suspects: suspects})
 }
 
-// Survived records a complete answer: a request that an endpoint survives is not
-// poison, or not always, and weighs half, a third and so on.
+// Survived records a complete answer. A request that an endpoint survives is either
+// harmless or crashes only some endpoints, so its blame counts by a half, a third and so
+// on.
 func (t *Tracker) Survived(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -189,14 +201,14 @@
 	}
 }
 
-// Release takes a request out of quarantine by an operator's order.
+// Release removes a request from quarantine on an operator's order.
 func (t *Tracker) Release(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.records, f)
 }
 
-// Counts returns what is held against all requests, for the other VMs.
+// Counts returns the records of all requests, sorted by fingerprint, for the other VMs.
 func (t *Tracker) Counts(now time.Time) []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,13 +230,13 @@
 	return out
 }
 
-// Merge takes another VM's counts in. It is commutative and idempotent: all merge
-// by maximum.
+// Merge merges the records of another VM. It is commutative and idempotent, since all
+// values merge by maximum.
 func (t *Tracker) Merge(now time.Time, counts []Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range counts {
-		if c.Age > forget || c.Age < 0 {
+		if c.Age > recordLifetime || c.Age < 0 {
 			continue
 		}
 		r := t.records[c.Fingerprint]
@@ -246,30 +258,32 @@
 	}
 }
 
+// odds returns the weight of a request in the distribution of blame.
 func (t *Tracker) odds(f Fingerprint) float64 {
 	if r := t.records[f]; r != nil {
-		return freshOdds + r.score()
+		return baseOdds + r.score()
 	}
-	return freshOdds
+	return baseOdds
 }
 
-func (t *Tracker) blame(now time.Time, f Fingerprint, endpoint string, units float64) {
+// addBlame records the units of blame that a request has for the crash of an endpoint.
+func (t *Tracker) addBlame(now time.Time, f Fingerprint, endpoint string, units float64) {
 	r := t.records[f]
 	if r == nil {
 		if len(t.records) >= maxRecords {
 			return
 		}
-		r = &record{blame: make(map[string]float64), unrelated: t.unrelated(f)}
+		r = &record{blame: make(map[string]float64), unrelated: t.countUnrelated(f)}
 		t.records[f] = r
 	}
 	r.blame[endpoint] = max(r.blame[endpoint], units)
 	r.last = now
 }
 
-// unrelated counts the recent crashes that the request had no part in.
-func (t *Tracker) unrelated(f Fingerprint) int {
+// countUnrelated returns the number of recent crashes that the request was not part of.
+func (t *Tracker) countUnrelated(f Fingerprint) int {
 	n := 0
-	for _, c := range t.recent {
+	for _, c := range t.recentCrashes {
 		if _, found := slices.BinarySearch(c.suspects, f); !found {
 			n++
 		}
@@ -277,10 +291,11 @@
 	return n
 }
 
+// prune drops expired crashes and records.
 func (t *Tracker) prune(now time.Time) {
-	t.recent = slices.DeleteFunc(t.recent, func(c crash) bool { return now.Sub(c.at) > window })
+	t.recentCrashes = slices.DeleteFunc(t.recentCrashes, func(c crash) bool { return now.Sub(c.at) > crashWindow })
 	for f, r := range t.records {
-		if now.Sub(r.last) > forget {
+		if now.Sub(r.last) > recordLifetime {
 			delete(t.records, f)
 		}
 	}
--- a/policy/poison/poison_test.go
+++ b/policy/poison/poison_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fresh returns n fingerprints never used before.
-func fresh(next *Fingerprint, n int) []Fingerprint {
+// newFingerprints returns n fingerprints that were not used before.
+func newFingerprints(next *Fingerprint, n int) []Fingerprint {
 	out := make([]Fingerprint, n)
 	for i := range out {
 		*next++
@@ -24,9 +24,9 @@
 	return out
 }
 
-// TestFindsCulprit: one request crashes each endpoint that runs it, beside others
-// that run there by chance. It is refused after few crashes; the others never are,
-// though each of them is sent again and survives elsewhere.
+// TestFindsCulprit checks that a request which crashes each endpoint that runs it is
+// refused after a few crashes, and that the requests which run beside it never are, since
+// they complete elsewhere.
 func TestFindsCulprit(t *testing.T) {
 	cases := []struct{ endpoints, beside, most int }{
 		{3, 0, 2}, {3, 3, 2}, {7, 7, 2}, {9, 0, 3}, {9, 7, 3}, {12, 15, 3}, {12, 40, 4},
@@ -36,7 +36,7 @@
 			tracker, next, now := New(c.endpoints), culprit, start
 			crashes := 0
 			for ; !tracker.Quarantined(now, culprit); crashes++ {
-				others := fresh(&next, c.beside)
+				others := newFingerprints(&next, c.beside)
 				tracker.Crashed(now, fmt.Sprint("e", crashes), append(others, culprit), 0)
 				now = now.Add(300 * time.Millisecond)
 				for _, f := range others {
@@ -45,15 +45,15 @@
 				}
 			}
 			require.LessOrEqual(t, crashes, c.most)
-			require.False(t, tracker.Quarantined(now.Add(forget+1), culprit), "a mended engine gets it again")
+			require.False(t, tracker.Quarantined(now.Add(recordLifetime+1), culprit), "a repaired engine gets the request again")
 		})
 	}
 }
 
-// TestPoolDies: a data centre loses its power and all endpoints go down within a
-// second. What ran there is tried elsewhere, three times in all, and goes down
-// again; nobody is to blame.
-func TestPoolDies(t *testing.T) {
+// TestPoolFailureBlamesNoRequest covers a data centre that loses its power, so that all
+// endpoints go down within a second. Requests that ran there are retried up to three
+// times and are in flight at further crashes; none of them may be quarantined.
+func TestPoolFailureBlamesNoRequest(t *testing.T) {
 	for _, each := range []int{1, 2, 8} {
 		tracker, next := New(12), Fingerprint(100)
 		rng := rand.New(rand.NewPCG(3, 0))
@@ -61,7 +61,7 @@
 		var all []Fingerprint
 		for i := range 12 {
 			now := start.Add(time.Duration(i) * 50 * time.Millisecond)
-			running := fresh(&next, each)
+			running := newFingerprints(&next, each)
 			for _, f := range all {
 				if attempts[f] < 3 && rng.IntN(4) == 0 {
 					running = append(running, f)
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestOneBadEndpoint: an endpoint that goes down again and again by itself makes
-// nobody a culprit, whoever runs there.
-func TestOneBadEndpoint(t *testing.T) {
+// TestFaultyEndpointBlamesNoRequest checks that an endpoint which crashes repeatedly for
+// its own reasons puts no request into quarantine.
+func TestFaultyEndpointBlamesNoRequest(t *testing.T) {
 	tracker := New(9)
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * 10 * time.Second)
@@ -93,7 +93,8 @@
 	require.False(t, tracker.Suspect(start, culprit))
 }
 
-// TestMerge: VMs exchange counts in any order and repeatedly, and come to the same.
+// TestMerge checks that VMs which exchange counts in any order and repeatedly reach the
+// same counts.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := []*Tracker{New(9), New(9), New(9)}
