--- a/policy/outlier/bench_test.go
+++ b/policy/outlier/bench_test.go
@@ -8,7 +8,7 @@
 func BenchmarkRecord(b *testing.B) {
 	for _, n := range []int{100, 500, 2000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			d, names := pool(n)
+			d, names := newPool(n)
 			i := 0
 			b.ReportAllocs()
 			for b.Loop() {
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -1,20 +1,18 @@
-// Package outlier ejects endpoints that answer with errors, and takes them back on
+// Package outlier ejects endpoints that answer with errors and returns them on
 // probation.
 //
-// Load pattern: one endpoint fails fast, so that it always has the least in
-// flight and draws the traffic of the pool; or the whole pool fails.
+// The package covers one endpoint that fails fast, and a pool that fails as a whole. An endpoint
+// that fails fast always has the fewest requests in flight, so without ejection it
+// attracts a growing part of all requests.
 //
-// Without it: the failing endpoint is a black hole that takes a growing part of
-// all requests.
+// At most MaxShare of a pool is ejected: when most endpoints look faulty, the cause is
+// shared (a bad input, a failed network), and ejecting more would put all load on the
+// few that remain. When nearly all requests to a pool fail, its circuit opens instead:
+// Broken reports it, and the caller refuses requests at once apart from probes.
 //
-// At most MaxShare of a pool is ejected: when most of a pool looks bad, the cause
-// is common to it (a bad input, a dead network), and ejecting the rest would put
-// all load on the few that are left. A pool in which nearly everything fails opens
-// its circuit instead: Broken, and the caller refuses at once but for probes.
-//
-// There is no ejection by latency: each return of a slow endpoint on probation costs as
-// many requests as it held before. The adaptive limit and hedges answer that pattern
-// (docs/DECISIONS.md).
+// Endpoints are not ejected for their latency, since each return of a slow endpoint on
+// probation delays as many requests as it delayed before. The adaptive limit and hedges
+// cover slow endpoints (docs/DECISIONS.md).
 package outlier
 
 import (
@@ -24,47 +22,53 @@
 )
 
 const (
-	// MaxShare is the part of a pool that may be ejected at once, rounded down but at
-	// least one endpoint. With a third out, the others of a pool at 65% load carry the rest.
+	// MaxShare is the part of a pool that may be ejected at once, rounded down, but at
+	// least one endpoint. With a third ejected, the other endpoints of a pool at 65% load
+	// can carry the rest.
 	MaxShare = 0.34
-	// consecutiveErrors ejects by errors alone: five in a row by chance, at an
-	// error rate of 5%, is one in three million.
+	// consecutiveErrors is the number of errors in a row that eject an endpoint. At an
+	// error rate of 5%, five in a row occur by chance once in three million.
 	consecutiveErrors = 5
-	// errorRate ejects an endpoint that fails in part, with minSamples behind it.
+	// errorRate is the error rate above which an endpoint that fails in part is ejected,
+	// after at least minSamples answers.
 	errorRate  = 0.5
 	minSamples = 10
-	// gain is the weight of one answer in the running rates: about the last ten.
-	gain = 0.1
-	// baseEjection is the first ejection's length, doubled for each in a row.
+	// endpointGain is the weight of one answer in the error rate of an endpoint, which
+	// averages over about ten answers.
+	endpointGain = 0.1
+	// baseEjection is the duration of the first ejection. It doubles for each one in a
+	// row, up to maxEjection.
 	baseEjection = 5 * time.Second
 	maxEjection  = 60 * time.Second
-	// probationPasses is the number of good answers in a row that end the probation.
+	// probationPasses is the number of successful answers in a row that end the
+	// probation.
 	probationPasses = 3
-	// brokenRate opens the pool's circuit; brokenSamples is its least evidence.
+	// brokenRate is the error rate of the pool at which its circuit opens, after at least
+	// brokenSamples answers.
 	brokenRate    = 0.8
 	brokenSamples = 20
-	// probeEvery is the time between two requests that are let through an open circuit.
-	probeEvery = time.Second
-	// poolGain is the weight of one answer in the pool's error rate: twenty failures in
-	// a row open the circuit, two seconds' worth of one VM's part of a pool.
+	// probeInterval is the time between two requests that pass an open circuit.
+	probeInterval = time.Second
+	// poolGain is the weight of one answer in the error rate of the pool. Twenty failures
+	// in a row open the circuit, as many as one VM's part of a pool gives in two seconds.
 	poolGain = 0.08
 )
 
-// State is where an endpoint stands.
+// State is the state of an endpoint.
 type State int
 
 // The states of an endpoint.
 const (
-	// Healthy takes work.
+	// Healthy means that the endpoint accepts work.
 	Healthy State = iota
-	// Ejected takes none until its time is over.
+	// Ejected means that the endpoint gets no work until its ejection ends.
 	Ejected
-	// Probation takes one request at a time until it has passed.
+	// Probation means that the endpoint gets one request at a time until it has passed.
 	Probation
 )
 
-// Result is what one answer tells about its endpoint. Errors that the caller
-// caused (a malformed request) and refusals for want of room are no failures.
+// Result is the outcome of one answer. Errors caused by the caller, such as a malformed
+// request, and refusals by a full endpoint are not failures.
 type Result struct {
 	Endpoint string
 	Failed   bool
@@ -76,17 +80,19 @@
 	State    State
 }
 
+// endpoint holds the state and error statistics of one endpoint.
 type endpoint struct {
-	state     State
-	samples   int
-	errors    float64 // running error rate
-	inRow     int     // errors in a row
-	passes    int     // good answers in probation
-	ejections int     // in a row, for the length of the next
-	until     time.Time
+	state        State
+	samples      int
+	errors       float64 // exponentially weighted error rate
+	consecutive  int     // errors in a row
+	successes    int     // successful answers on probation
+	ejections    int     // ejections in a row, which determine the duration of the next
+	ejectedUntil time.Time
 }
 
-// Detector watches one pool. It is safe for concurrent use; its mutex is a leaf.
+// Detector detects failing endpoints of one pool. It is safe for concurrent use. Its
+// mutex is a leaf of the lock order.
 type Detector struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
@@ -101,7 +107,7 @@
 	return &Detector{endpoints: make(map[string]*endpoint)}
 }
 
-// Set makes names the pool's endpoints; what is known of those that stay is kept.
+// Set replaces the endpoints of the pool. Endpoints that stay keep their state.
 func (d *Detector) Set(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +126,8 @@
 	d.endpoints = keep
 }
 
-// Record takes one answer and returns the change of state that it causes.
+// Record records one answer. It returns the change of state that the answer causes, and
+// whether there is one.
 func (d *Detector) Record(now time.Time, r Result) (Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,19 +135,19 @@
 	if e == nil {
 		return Change{}, false
 	}
-	d.learn(e, r)
+	d.updateRates(e, r)
 	switch {
 	case e.state == Ejected:
 		return Change{}, false
 	case e.state == Probation:
-		return d.probation(now, e, r)
-	case e.bad() && d.mayEject():
+		return d.recordProbation(now, e, r)
+	case e.failing() && d.mayEject():
 		return d.eject(now, e, r.Endpoint), true
 	}
 	return Change{}, false
 }
 
-// Due returns the endpoints whose ejection has ended; they are on probation now.
+// Due puts the endpoints whose ejection has ended on probation and returns their changes.
 func (d *Detector) Due(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,11 +156,11 @@
 	}
 	var out []Change
 	for name, e := range d.endpoints {
-		if e.state != Ejected || now.Before(e.until) {
+		if e.state != Ejected || now.Before(e.ejectedUntil) {
 			continue
 		}
 		e.state = Probation
-		e.passes = 0
+		e.successes = 0
 		d.ejected--
 		out = append(out, Change{Endpoint: name, State: Probation})
 	}
@@ -166,7 +173,7 @@
 	return out
 }
 
-// State returns an endpoint's state.
+// State returns the state of an endpoint.
 func (d *Detector) State(name string) State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,49 +183,52 @@
 	return Healthy
 }
 
-// Broken reports whether the pool's circuit is open. Then one request each
-// probeEvery is let through (Broken returns false for it), and the rest is to be
-// refused at once.
+// Broken reports whether the pool's circuit is open and the request is to be refused at
+// once. While the circuit is open, Broken returns false for one request per
+// probeInterval, which serves as a probe.
 func (d *Detector) Broken(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.samples < brokenSamples || d.errors < brokenRate {
 		return false
 	}
-	if now.Sub(d.lastProbe) >= probeEvery {
+	if now.Sub(d.lastProbe) >= probeInterval {
 		d.lastProbe = now
 		return false
 	}
 	return true
 }
 
-func (d *Detector) learn(e *endpoint, r Result) {
+// updateRates adds a result to the error rates of the endpoint and the pool.
+func (d *Detector) updateRates(e *endpoint, r Result) {
 	failed := 0.0
 	if r.Failed {
 		failed = 1
-		e.inRow++
+		e.consecutive++
 	} else {
-		e.inRow = 0
+		e.consecutive = 0
 	}
 	e.samples++
-	e.errors += gain * (failed - e.errors)
+	e.errors += endpointGain * (failed - e.errors)
 	d.samples++
 	d.errors += poolGain * (failed - d.errors)
 	if !r.Failed && d.errors >= brokenRate {
-		// One success closes the circuit: only probes run then, and the pool must not
-		// wait for fifty of them. If it was luck, some failures open it again.
+		// One success closes the circuit: only probes run while it is open, and the pool
+		// must not wait for fifty of them. Some further failures open it again.
 		d.errors = brokenRate - poolGain
 	}
 }
 
-// bad judges an endpoint by its own errors alone.
-func (e *endpoint) bad() bool {
-	if e.inRow >= consecutiveErrors {
+// failing reports whether the endpoint is to be ejected according to its own errors.
+func (e *endpoint) failing() bool {
+	if e.consecutive >= consecutiveErrors {
 		return true
 	}
 	return e.samples >= minSamples && e.errors > errorRate
 }
 
+// mayEject reports whether one more endpoint of the pool may be ejected. A pool's only
+// endpoint never is.
 func (d *Detector) mayEject() bool {
 	n := len(d.endpoints)
 	if n < 2 {
@@ -227,23 +237,26 @@
 	return d.ejected < max(1, int(MaxShare*float64(n)))
 }
 
+// eject ejects the endpoint. Each ejection in a row lasts twice as long, up to
+// maxEjection.
 func (d *Detector) eject(now time.Time, e *endpoint, name string) Change {
 	length := min(baseEjection<<min(e.ejections, 8), maxEjection)
-	*e = endpoint{state: Ejected, ejections: e.ejections + 1, until: now.Add(length)}
+	*e = endpoint{state: Ejected, ejections: e.ejections + 1, ejectedUntil: now.Add(length)}
 	d.ejected++
 	return Change{Endpoint: name, State: Ejected}
 }
 
-// probation ends after probationPasses good answers in a row, or with the first failure.
-func (d *Detector) probation(now time.Time, e *endpoint, r Result) (Change, bool) {
+// recordProbation applies a result of an endpoint on probation, which ends after
+// probationPasses successful answers in a row or with the first failure.
+func (d *Detector) recordProbation(now time.Time, e *endpoint, r Result) (Change, bool) {
 	if r.Failed {
 		if !d.mayEject() {
 			return Change{}, false
 		}
 		return d.eject(now, e, r.Endpoint), true
 	}
-	e.passes++
-	if e.passes < probationPasses {
+	e.successes++
+	if e.successes < probationPasses {
 		return Change{}, false
 	}
 	*e = endpoint{}
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-func pool(n int) (*Detector, []string) {
+func newPool(n int) (*Detector, []string) {
 	names := make([]string, n)
 	for i := range names {
 		names[i] = fmt.Sprint("e", i)
@@ -20,8 +20,8 @@
 	return d, names
 }
 
-// fail records failures of an endpoint and returns whether it was ejected.
-func fail(d *Detector, name string, n int) bool {
+// recordFailures records n failures of an endpoint and reports whether they ejected it.
+func recordFailures(d *Detector, name string, n int) bool {
 	for range n {
 		if c, ok := d.Record(start, Result{Endpoint: name, Failed: true}); ok {
 			return c.State == Ejected
@@ -33,7 +33,7 @@
 func TestEjects(t *testing.T) {
 	cases := []struct {
 		name    string
-		pattern string // of answers: . good, x failed
+		pattern string // of answers: . for success, x for failure
 		want    bool
 	}{
 		{"five in a row", "xxxxx", true},
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			d, _ := pool(9)
+			d, _ := newPool(9)
 			for _, r := range c.pattern {
 				d.Record(start, Result{Endpoint: "e0", Failed: r == 'x'})
 			}
@@ -52,14 +52,14 @@
 	}
 }
 
-// TestShare: most endpoints of a pool fail; at most a third is taken out, and an only
-// endpoint never.
-func TestShare(t *testing.T) {
+// TestMaxShare checks that at most a third of a pool is ejected when most endpoints fail,
+// and that the only endpoint of a pool never is.
+func TestMaxShare(t *testing.T) {
 	for n, most := range map[int]int{1: 0, 2: 1, 3: 1, 9: 3, 12: 4} {
-		d, names := pool(n)
+		d, names := newPool(n)
 		out := 0
 		for _, name := range names {
-			if fail(d, name, 50) {
+			if recordFailures(d, name, 50) {
 				out++
 			}
 		}
@@ -67,11 +67,11 @@
 	}
 }
 
-// TestProbation: an ejected endpoint comes back after its time, stays when it
-// answers, and is gone for twice as long when it still fails.
+// TestProbation checks that an ejected endpoint returns on probation after its ejection,
+// becomes healthy when it answers, and is ejected for twice as long when it fails again.
 func TestProbation(t *testing.T) {
-	d, _ := pool(9)
-	require.True(t, fail(d, "e0", consecutiveErrors))
+	d, _ := newPool(9)
+	require.True(t, recordFailures(d, "e0", consecutiveErrors))
 	require.Empty(t, d.Due(start.Add(baseEjection-1)))
 	now := start.Add(baseEjection)
 	require.Equal(t, []Change{{"e0", Probation}}, d.Due(now))
@@ -88,19 +88,19 @@
 	require.Equal(t, Healthy, c.State)
 }
 
-// TestCircuit: everything fails; callers are refused at once but for a probe a
-// second, and the first good answer lets them in again.
+// TestCircuit checks that when everything fails, callers are refused at once apart from
+// one probe per second, and that the first success closes the circuit.
 func TestCircuit(t *testing.T) {
-	d, names := pool(9)
+	d, names := newPool(9)
 	for i := range 40 {
 		require.False(t, i < brokenSamples-1 && d.Broken(start))
 		d.Record(start, Result{Endpoint: names[i%9], Failed: true})
 	}
 	now := start.Add(time.Minute)
-	require.False(t, d.Broken(now), "a probe")
+	require.False(t, d.Broken(now), "the first probe")
 	require.True(t, d.Broken(now))
-	require.True(t, d.Broken(now.Add(probeEvery-1)))
-	require.False(t, d.Broken(now.Add(probeEvery)), "the next probe")
+	require.True(t, d.Broken(now.Add(probeInterval-1)))
+	require.False(t, d.Broken(now.Add(probeInterval)), "the next probe")
 	d.Record(now, Result{Endpoint: names[8]})
 	require.False(t, d.Broken(now))
 	require.False(t, d.Broken(now))
