--- a/policy/datacentre/tracker_test.go
+++ b/policy/datacentre/tracker_test.go
@@ -11,11 +11,12 @@
 	"goldcrestfork/config"
 )
 
-func states(in map[string]bool) map[string]*config.DataCentre {
+// dataCentres returns the configuration of data centres that are in or out.
+func dataCentres(in map[string]bool) map[string]*config.DataCentre {
 	out := make(map[string]*config.DataCentre)
-	for name, is := range in {
+	for name, isIn := range in {
 		state := config.DataCentreOut
-		if is {
+		if isIn {
 			state = config.DataCentreIn
 		}
 		out[name] = &config.DataCentre{Meta: config.Meta{Name: name}, State: state}
@@ -23,14 +24,14 @@
 	return out
 }
 
-// Operators take norte-a out and bring it back. New work stops in the moment the
-// VM sees the change; on the return it grows over the ramp, and a second
-// out-and-in starts the ramp over.
+// TestOutAndBack covers operators who take norte-a out and bring it back. New work must
+// stop as soon as the VM observes the change and grow over the ramp after the return, and
+// a second cycle must restart the ramp.
 func TestOutAndBack(t *testing.T) {
 	s := DefaultSettings()
 	tr, now := NewTracker(s), time.Unix(0, 0)
-	both := states(map[string]bool{"norte-a": true, "norte-b": true})
-	one := states(map[string]bool{"norte-a": false, "norte-b": true})
+	both := dataCentres(map[string]bool{"norte-a": true, "norte-b": true})
+	one := dataCentres(map[string]bool{"norte-a": false, "norte-b": true})
 	require.Zero(t, tr.Weight("norte-a", now), "never observed")
 	tr.Observe(both, now)
 	require.Equal(t, 1.0, tr.Weight("norte-a", now))
@@ -47,20 +48,21 @@
 		require.InDelta(t, 0.5, tr.Weight("norte-a", now), 1e-9)
 	}
 	require.Equal(t, 1.0, tr.Weight("norte-a", now.Add(s.RampTime)))
-	tr.Observe(states(map[string]bool{"norte-b": true, "norte-c": true}), now)
+	tr.Observe(dataCentres(map[string]bool{"norte-b": true, "norte-c": true}), now)
 	require.Zero(t, tr.Weight("norte-a", now), "removed")
 	require.Equal(t, s.Floor, tr.Weight("norte-c", now), "added")
 }
 
-// Whatever the order of changes, one that is out has weight zero, one that is in
-// has a weight in (0,1] that only grows until the next change.
+// TestWeightProperties checks for random sequences of changes that a data centre that is
+// out has weight zero, and that one that is in has a weight in (0,1] that does not
+// decrease until the next change.
 func TestWeightProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		tr, now, last, was := NewTracker(DefaultSettings()), time.Unix(0, 0), 0.0, false
 		for range 40 {
 			in := rng.IntN(3) > 0
-			tr.Observe(states(map[string]bool{"a": in}), now)
+			tr.Observe(dataCentres(map[string]bool{"a": in}), now)
 			w := tr.Weight("a", now)
 			require.Equal(t, in, w > 0)
 			require.LessOrEqual(t, w, 1.0)
