--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -88,7 +88,7 @@
 	// Size is the work that the request took according to its answer: generated tokens,
 	// and prompt tokens that were not cached. With 0 or less, the latency is ignored.
 	Size float64
-	// Refused means that the endpoint was full.
+	// Refused means that the endpoint refused the request because it was at capacity.
 	Refused bool
 	// Failed means that the answer failed. Its latency is ignored.
 	Failed bool
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -1,9 +1,9 @@
 // Package outlier ejects endpoints that answer with errors and returns them on
 // probation.
 //
-// The package covers one endpoint that fails fast, and a pool that fails as a whole. An endpoint
-// that fails fast always has the fewest requests in flight, so without ejection it
-// attracts a growing part of all requests.
+// The package covers one endpoint that fails fast, and a pool that fails as a whole. An
+// endpoint that fails fast always has the fewest requests in flight, so without
+// ejection it attracts a growing part of all requests.
 //
 // At most MaxShare of a pool is ejected: when most endpoints look faulty, the cause is
 // shared (a bad input, a failed network), and ejecting more would put all load on the
@@ -68,7 +68,7 @@
 )
 
 // Result is the outcome of one answer. Errors caused by the caller, such as a malformed
-// request, and refusals by a full endpoint are not failures.
+// request, and refusals by an endpoint at capacity are not failures.
 type Result struct {
 	Endpoint string
 	Failed   bool
--- a/policy/picker/endpoint.go
+++ b/policy/picker/endpoint.go
@@ -19,6 +19,7 @@
 
 // Spec is the configuration of an endpoint.
 type Spec struct {
+	// Name identifies the endpoint in the table.
 	Name string
 	// Pools are the names of the model versions, or the service, that it serves.
 	Pools []string
@@ -38,7 +39,7 @@
 	Leaving       bool
 	DataCentreOut bool
 	// Ejected and Probation are set by the outlier detector. Ejected excludes the
-	// endpoint from new work; Probation allows one request at a time.
+	// endpoint from new work. Probation allows one request at a time.
 	Ejected   bool
 	Probation bool
 	// Down means that the endpoint cannot be reached.
@@ -93,8 +94,9 @@
 type pool struct {
 	name    string
 	members []*Endpoint
-	open    [tiers][]*Endpoint
-	ring    ring
+	// open holds the members that may get new work, by tier.
+	open [tiers][]*Endpoint
+	ring ring
 	// capacity and inFlight are the sums over the members that Table.Capacity returns.
 	capacity, inFlight int
 }
--- a/policy/picker/table.go
+++ b/policy/picker/table.go
@@ -12,7 +12,9 @@
 
 // Config configures the plugins of a table.
 type Config struct {
-	Limit    limit.Config
+	// Limit configures the concurrency limits of the endpoints.
+	Limit limit.Config
+	// State and Request are the filters, and Scorers the weighted scorers.
 	State    []StateFilter
 	Request  []RequestFilter
 	Scorers  []Weighted
--- a/policy/poison/poison.go
+++ b/policy/poison/poison.go
@@ -95,12 +95,15 @@
 
 // record holds the blame of one request.
 type record struct {
+	// blame holds the units of blame by endpoint, and survived the number of complete
+	// answers.
 	blame    map[string]float64
 	survived int
 	// unrelated is the number of crashes within crashWindow of the request's own crashes
 	// that it was not part of.
 	unrelated int
-	last      time.Time
+	// last is the time of the last crash.
+	last time.Time
 }
 
 // score returns the sum of the blame, reduced by complete answers and unrelated crashes.
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -60,18 +60,27 @@
 
 // The reasons not to repeat an attempt.
 const (
-	ReasonNone          Reason = ""
+	// ReasonNone means that the attempt may be repeated.
+	ReasonNone Reason = ""
+	// ReasonNotIdempotent means that repeating the request could have a second effect.
 	ReasonNotIdempotent Reason = "not-idempotent"
-	ReasonAttempts      Reason = "attempts"
-	ReasonHops          Reason = "hops"
-	ReasonDeadline      Reason = "deadline"
+	// ReasonAttempts means that MaxAttempts attempts were made.
+	ReasonAttempts Reason = "attempts"
+	// ReasonHops means that the request was forwarded more than MaxHops times.
+	ReasonHops Reason = "hops"
+	// ReasonDeadline means that a new attempt could not complete by the deadline.
+	ReasonDeadline Reason = "deadline"
+	// ReasonAccountBudget means that the account's balance is used up.
 	ReasonAccountBudget Reason = "account-budget"
-	ReasonPoolBudget    Reason = "pool-budget"
+	// ReasonPoolBudget means that the pool's balance is used up, or too low for a hedge.
+	ReasonPoolBudget Reason = "pool-budget"
 )
 
 // Attempt describes the attempt that failed or is slow.
 type Attempt struct {
-	Account    string
+	// Account is the client account of the request.
+	Account string
+	// Idempotent means that the request may be executed more than once.
 	Idempotent bool
 	// Made is the number of dispatches so far, including this one.
 	Made int
--- a/policy/retry/window.go
+++ b/policy/retry/window.go
@@ -30,11 +30,11 @@
 	mu     sync.Mutex
 	first  [bucketCount]int
 	extra  [bucketCount]int
-	bucket int64 // number of the newest bucket since the zero time
+	bucket int64 // number of the newest bucket since the Unix epoch
 }
 
-// NewWindow returns a window of a length that allows ratio of the requests in it and
-// slack more.
+// NewWindow returns a window of the given length that allows ratio times the number of
+// requests in it, plus slack, as extra attempts.
 func NewWindow(length time.Duration, ratio, slack float64) *Window {
 	return &Window{ratio: ratio * safetyFactor, slack: slack, length: length}
 }
