--- a/policy/placement/choose.go
+++ b/policy/placement/choose.go
@@ -7,12 +7,13 @@
 	"goldcrestfork/fleet/rendezvous"
 )
 
-// candidates splits the usable endpoints into warm ones and cold ones that have a
-// request left: those of a sample of a large pool and of the keepers of the request's
-// shared part, or of all where the sample has none.
+// candidates returns the usable endpoints, split into warm ones and cold ones that may get
+// another request from this VM. In a large pool it looks at a sample and at the endpoints
+// preferred for the request's affinity; if none of these is warm, it looks at all. tried
+// reports whether an endpoint was left out because the request was sent to it before.
 func (t *Table) candidates(now time.Time, rng *rand.Rand, p *pool, r *Request) (warm, cold []*endpoint, tried bool) {
-	if len(p.list) > sampleFrom {
-		warm, cold, _ = split(now, append(sample(rng, p.list), keepersOf(p.list, r.Affinity)...), r)
+	if len(p.list) > sampleThreshold {
+		warm, cold, _ = split(now, append(sample(rng, p.list), preferredList(p.list, r.Affinity)...), r)
 		if len(warm) > 0 {
 			return warm, cold, false
 		}
@@ -20,6 +21,8 @@
 	return split(now, p.list, r)
 }
 
+// split sorts the usable endpoints of a list into warm and cold ones; cold ones without request
+// budget are left out. tried is as for candidates.
 func split(now time.Time, list []*endpoint, r *Request) (warm, cold []*endpoint, tried bool) {
 	warm = make([]*endpoint, 0, len(list))
 	for _, e := range list {
@@ -29,7 +32,7 @@
 		}
 		if !e.cold(now) {
 			warm = append(warm, e)
-		} else if e.takeCold(now, false) {
+		} else if e.admitCold(now, false) {
 			cold = append(cold, e)
 		}
 	}
@@ -37,42 +40,43 @@
 }
 
 const (
-	// sampleFrom is the number of endpoints from which a choice looks at a sample: each
-	// stream makes up to three choices, and each would cost processor time in proportion to
-	// the endpoints.
-	sampleFrom = 200
-	// sampled endpoints are looked at: the least loaded of a hundred is among the
-	// least loaded 3 in 100 of all in 95 of 100 choices.
-	sampled = 100
+	// sampleThreshold is the number of endpoints above which a choice looks at a sample. Each
+	// stream makes up to three choices, and the CPU time of a full scan grows with the pool.
+	sampleThreshold = 200
+	// sampleSize is the number of endpoints in a sample. In 95 of 100 samples the least loaded
+	// of 100 endpoints is among the least loaded 3% of the pool.
+	sampleSize = 100
 )
 
-// sample takes endpoints at equal steps from a random one on: entries of a data centre or
-// a version stand together, and each gets its part.
+// sample returns endpoints at equal distances in the list, starting at a random one. Endpoints
+// of the same data centre or version are adjacent in the list, so that each group is
+// represented by its size.
 func sample(rng *rand.Rand, list []*endpoint) []*endpoint {
-	out := make([]*endpoint, 0, sampled+affine)
+	out := make([]*endpoint, 0, sampleSize+affinityReplicas)
 	at := rng.IntN(len(list))
-	for i := range sampled {
-		out = append(out, list[(at+i*len(list)/sampled)%len(list)])
+	for i := range sampleSize {
+		out = append(out, list[(at+i*len(list)/sampleSize)%len(list)])
 	}
 	return out
 }
 
-// best returns the endpoint with the least work before the request, where one of
-// those that keep its shared part is allowed Saving more than the others.
+// best returns the endpoint with the lowest cost, or nil for an empty list. The cost is the
+// work under way plus penalties, in requests; Request.Saving is deducted for the endpoints
+// preferred for the request's affinity.
 func (t *Table) best(now time.Time, rng *rand.Rand, list []*endpoint, r *Request) *endpoint {
-	keepers := keepers(list, r.Affinity)
+	preferred := preferredEndpoints(list, r.Affinity)
 	var best *endpoint
 	var least float64
 	for _, e := range list {
-		cost := t.under(now, e) + t.risk(now, e)
-		if e.elsewhere.Avoided && t.informed(now) {
+		cost := t.workAt(now, e) + t.failureCost(now, e)
+		if e.peerLoad.Avoided && t.peerLoadFresh(now) {
 			cost += avoidedPenalty
 		}
-		if e == keepers[0] || e == keepers[1] {
+		if e == preferred[0] || e == preferred[1] {
 			cost -= r.Saving
 		}
 		if e.DataCentre != t.DataCentre {
-			cost += farPenalty
+			cost += remotePenalty
 		}
 		cost += jitter * rng.Float64()
 		if best == nil || cost < least {
@@ -82,43 +86,46 @@
 	return best
 }
 
-// informed says that the other VMs' work is known.
-func (t *Table) informed(now time.Time) bool { return now.Sub(t.toldAt) < toldFor }
+// peerLoadFresh reports whether the load from other VMs is recent enough to be used.
+func (t *Table) peerLoadFresh(now time.Time) bool { return now.Sub(t.peerLoadAt) < peerLoadMaxAge }
 
-// under is the work under way at an endpoint.
-func (t *Table) under(now time.Time, e *endpoint) float64 {
-	if t.informed(now) {
-		return e.running + e.elsewhere.Work
+// workAt returns the work under way at an endpoint: this VM's and, if known, that of the other
+// VMs.
+func (t *Table) workAt(now time.Time, e *endpoint) float64 {
+	if t.peerLoadFresh(now) {
+		return e.load + e.peerLoad.Work
 	}
-	return e.running
+	return e.load
 }
 
 const (
-	// toldFor is how long the other VMs' work is believed: a choice follows the answer
-	// within ms, and a second one for the same request within some hundred.
-	toldFor = 300 * time.Millisecond
-	// avoidedPenalty is what an endpoint costs that other VMs keep away from: more than
-	// any queue, so that it is used only where all others are as bad.
+	// peerLoadMaxAge is how long the load from other VMs is used. A choice follows its update
+	// within milliseconds, and a second attempt of the same request within some hundred.
+	peerLoadMaxAge = 300 * time.Millisecond
+	// avoidedPenalty is the cost of an endpoint that other VMs avoid, in requests. It exceeds
+	// any queue, so that such an endpoint is used only if all others are avoided too.
 	avoidedPenalty = 1e4
-	// farPenalty is what another data centre costs, in requests: bytes between data
-	// centres are billed, and a round trip takes 1 to 2 ms more.
-	farPenalty = 3.0
-	// jitter parts VMs that see the same loads, in requests.
+	// remotePenalty is the cost of an endpoint in another data centre, in requests: traffic
+	// between data centres is billed, and a round trip takes 1 to 2 ms longer.
+	remotePenalty = 3.0
+	// jitter is the range of a random cost that spreads VMs with the same view of the load, in
+	// requests.
 	jitter = 0.5
 )
 
-// keepers are the endpoints that rank first for a shared part by rendezvous, so that
-// all VMs with the same endpoints agree.
-func keepers(list []*endpoint, affinity string) (out [affine]*endpoint) {
+// preferredEndpoints returns the endpoints that rank first for an affinity key by rendezvous
+// hashing, so that all VMs with the same endpoints prefer the same ones. Entries are nil where
+// there are too few endpoints or no affinity.
+func preferredEndpoints(list []*endpoint, affinity string) (out [affinityReplicas]*endpoint) {
 	if affinity == "" {
 		return out
 	}
 	key := rendezvous.Mark(affinity)
-	var top [affine]uint64
+	var top [affinityReplicas]uint64
 	for _, e := range list {
-		w := key.Weight(e.rank)
+		w := key.Weight(e.idHash)
 		switch {
-		case e == out[0] || e == out[1]: // listed twice
+		case e == out[0] || e == out[1]: // The sample and the preferred endpoints may overlap.
 		case out[0] == nil || w > top[0]:
 			out[1], top[1] = out[0], top[0]
 			out[0], top[0] = e, w
@@ -129,9 +136,9 @@
 	return out
 }
 
-// keepersOf lists them.
-func keepersOf(list []*endpoint, affinity string) []*endpoint {
-	k := keepers(list, affinity)
+// preferredList returns the result of preferredEndpoints as a slice, nil if there is none.
+func preferredList(list []*endpoint, affinity string) []*endpoint {
+	k := preferredEndpoints(list, affinity)
 	if k[0] == nil {
 		return nil
 	}
--- a/policy/placement/doc.go
+++ b/policy/placement/doc.go
@@ -1,31 +1,30 @@
-// Package placement chooses the endpoint that a request of a service is sent to,
-// by what is known of each: the work that the VMs have under way there, and whether it
-// is failing, cold or on its way out.
-//
-// Load pattern: some to dozens of VMs decide apart; prompts differ a hundredfold in
-// size; prompts share long leading parts, which an engine that has read them lately
-// needn't read again; endpoints crash, come back cold and leave in numbers.
-//
-// Without it: VMs that all take the endpoint with the least reported load fill the
-// same one until the next report; a shared part of 5,000 tokens is read again on
-// each engine; an endpoint that refuses connections at once always has the least
-// under way and draws everything.
-//
-// What the other VMs have under way is told to the table just before a choice
-// (SetElsewhere). Without it dozens of VMs, each with a small part of the requests, choose
-// nearly at random, and streams queue at one engine while others are idle.
-//
-// What all VMs saw endpoints fail is told as well (SetRecords): among hundreds of VMs each
-// meets an endpoint too seldom to judge it. An endpoint that fails more of its requests than
-// is usual in its pool costs more, one at whose address another life answers is left.
-//
-// A choice is made among the endpoints that may be used, by an estimate of the
-// work before the request: two candidates by the hash of its shared prompt part,
-// the same on each VM, are taken unless the least loaded of all is better by more
-// than reading the part again would cost.
-//
-// Above 200 endpoints a choice looks at a sample, so that its cost stays flat. The time to
-// a request's first event can be estimated without placing it (Outlook).
+// Package placement chooses the endpoint for a request of a service. It weighs the work that
+// all VMs have under way at each endpoint and whether the endpoint fails, is cold or drains.
+//
+// Load pattern: up to dozens of VMs decide independently; prompt sizes differ by a factor of a
+// hundred; prompts share long prefixes, which an engine that has them cached does not read
+// again; endpoints crash, come back cold and leave in groups.
+//
+// Without it: VMs that all choose the endpoint with the least reported load overload the same
+// one until the next report; a shared prefix of 5,000 tokens is read again on each engine; an
+// endpoint that refuses connections immediately always has the least work under way and
+// attracts all requests.
+//
+// The load that other VMs have placed is set just before a choice. Without it dozens of VMs,
+// each with a small part of the requests, choose nearly at random, and streams queue at one
+// engine while others are idle.
+//
+// The failures that all VMs observed are set too, since with hundreds of VMs each one sees an
+// endpoint too seldom to judge it. An endpoint that fails a larger share of its requests than
+// is usual in its pool costs more; one whose address is answered by another incarnation is
+// avoided.
+//
+// A choice minimizes the estimated work ahead of the request. The two endpoints that rank first
+// for the hash of the shared prefix, the same on each VM, are preferred unless the least loaded
+// endpoint saves more than reading the prefix again would cost.
+//
+// In pools of more than 200 endpoints a choice looks at a sample, so that its cost stays
+// constant. The time to a request's first event can be estimated without placing the request.
 //
 // The package has no network and no clock; time and randomness are arguments.
 //
--- a/policy/placement/endpoint.go
+++ b/policy/placement/endpoint.go
@@ -7,9 +7,9 @@
 	"goldcrestfork/policy/outlier"
 )
 
-// Spec is what is configured or reported of an endpoint.
+// Spec is the configured and reported state of an endpoint.
 type Spec struct {
-	// ID names one life of the endpoint.
+	// ID identifies one incarnation of the endpoint.
 	ID         string
 	Service    string
 	Address    string
@@ -17,59 +17,61 @@
 	Region     string
 	Version    string
 	Slots      int
-	// Draining endpoints get nothing new.
+	// Draining endpoints get no new requests.
 	Draining bool
-	// Cold is how long it stays cold from now.
+	// Cold is the remaining time of the cold start.
 	Cold time.Duration
-	// ColdLimited says that it bears few requests while it is cold; ColdRate is this
-	// VM's part of them a second, 0 for none.
+	// ColdLimited says that the endpoint accepts only a limited request rate while it is cold.
+	// ColdRate is this VM's share of that rate in requests per second, 0 for none.
 	ColdLimited bool
 	ColdRate    float64
 }
 
 const (
-	// firstAvoidance is how long an endpoint that broke a connection or refused one
-	// gets nothing; it doubles up to lastAvoidance. A crashed endpoint is back
-	// after some seconds; a trial costs one request a few ms where it is refused and
-	// dialTimeout where it is silent.
-	firstAvoidance = 300 * time.Millisecond
-	lastAvoidance  = 3 * time.Second
-	// coldBurst is how many requests a cold endpoint gets at once from this VM: one,
-	// so that some VMs together stay below the endpoint's rate for a second.
+	// minAvoidance is how long an endpoint gets no requests after a broken or refused
+	// connection; the time doubles with each failure up to maxAvoidance. A crashed endpoint is
+	// back after some seconds. A probe costs one request a few milliseconds if the connection
+	// is refused, and the dial timeout if there is no answer.
+	minAvoidance = 300 * time.Millisecond
+	maxAvoidance = 3 * time.Second
+	// coldBurst is the number of requests that this VM sends to a cold endpoint at once. With
+	// one each, several VMs together stay below the endpoint's rate within a second.
 	coldBurst = 1.0
 )
 
+// endpoint is the state of one endpoint as this VM sees it.
 type endpoint struct {
 	Spec
-	rank rendezvous.Hash // of its id, for the keepers of shared parts
-	out  bool            // its data centre's endpoints get nothing
-	lost bool            // nothing comes from it
-	// running is the work under way from this VM. The endpoint's own word on its load isn't
-	// added: it is there for those that answered lately and not for the others, so that the
-	// others look empty.
-	running   float64
-	elsewhere Share // what the other VMs told, as of Table.toldAt
-	requests  int
-	record    record  // of this VM's attempts
-	fleet     Record  // of all VMs' attempts, as of Table.judgedAt
-	worse     float64 // share of its requests that it fails beyond what is usual in its pool
+	idHash        rendezvous.Hash // hash of ID, for the endpoints preferred by affinity
+	dataCentreOut bool            // its data centre is taken out of service
+	lost          bool            // the endpoint does not respond (SetLost)
+	// load is the work that this VM has under way there. The load that the endpoint reports is
+	// not added: it is known only for endpoints that answered recently, so that the others
+	// would look idle.
+	load           float64
+	peerLoad       Share // load from the other VMs, as of Table.peerLoadAt
+	requests       int
+	record         record  // attempts of this VM
+	fleetRecord    Record  // attempts of all VMs, as of Table.recordsAt
+	excessFailures float64 // failure share above what is usual in the pool
 
 	coldUntil  time.Time
 	coldTokens float64
 	coldFilled time.Time
 
-	// avoidUntil keeps work away after a broken connection; trial says that one
-	// request is out to see whether it is back.
-	avoidUntil time.Time
-	avoidFor   time.Duration
-	trial      bool
-	detected   outlier.State
+	// avoidUntil is when a probe may be sent after a connection failure; probing says that one
+	// request is under way as the probe.
+	avoidUntil   time.Time
+	avoidFor     time.Duration
+	probing      bool
+	outlierState outlier.State
 }
 
 func (e *endpoint) cold(now time.Time) bool { return now.Before(e.coldUntil) }
 
-// takeCold takes one of this VM's requests to a cold endpoint, if it has one.
-func (e *endpoint) takeCold(now time.Time, take bool) bool {
+// admitCold reports whether this VM may send a request to the cold endpoint; with take it also
+// consumes a token of the rate limit.
+func (e *endpoint) admitCold(now time.Time, take bool) bool {
 	if !e.ColdLimited {
 		return true
 	}
@@ -91,9 +93,9 @@
 	return true
 }
 
-// usable says whether the endpoint may get a request now.
+// usable reports whether the endpoint may get the request now.
 func (e *endpoint) usable(now time.Time, r *Request) bool {
-	if e.Draining || e.out || e.lost || e.detected == outlier.Ejected {
+	if e.Draining || e.dataCentreOut || e.lost || e.outlierState == outlier.Ejected {
 		return false
 	}
 	if r.Version != "" && e.Version != r.Version || r.NotVersion != "" && e.Version == r.NotVersion {
@@ -102,25 +104,28 @@
 	if len(r.Regions) > 0 && !r.inRegion(e.Region) {
 		return false
 	}
-	if e.avoidFor > 0 && (now.Before(e.avoidUntil) || e.trial) {
+	if e.avoidFor > 0 && (now.Before(e.avoidUntil) || e.probing) {
 		return false
 	}
-	if e.detected == outlier.Probation && e.requests > 0 {
+	if e.outlierState == outlier.Probation && e.requests > 0 {
 		return false
 	}
 	return !r.excluded(e.ID)
 }
 
+// failed starts or extends the time of avoidance after a connection failure. Failures of
+// requests that were under way together count once.
 func (e *endpoint) failed(now time.Time) {
-	e.trial = false
+	e.probing = false
 	if now.Before(e.avoidUntil) {
 		return
 	}
-	e.avoidFor = min(max(2*e.avoidFor, firstAvoidance), lastAvoidance)
+	e.avoidFor = min(max(2*e.avoidFor, minAvoidance), maxAvoidance)
 	e.avoidUntil = now.Add(e.avoidFor)
 }
 
+// succeeded ends the avoidance.
 func (e *endpoint) succeeded() {
-	e.trial = false
+	e.probing = false
 	e.avoidFor = 0
 }
--- a/policy/placement/fleet_test.go
+++ b/policy/placement/fleet_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// engineQueue reads prompts one after another, as an engine does for those that wait.
+// engineQueue models an engine that reads waiting prompts one after another.
 type engineQueue struct{ free time.Time }
 
-// playFleet lets VMs place prompts of very unlike size at engines, and returns how long
-// callers waited for their first event beyond the reading of their own prompt. With
-// told, a VM knows what the others have under way when it chooses.
-func playFleet(vms, engines int, told bool) []time.Duration {
+// simulateFleet lets VMs place prompts of widely differing sizes at engines. It returns the
+// sorted times that requests waited before the engine began to read their prompts. With shared, a
+// VM knows the load from the others when it chooses.
+func simulateFleet(vms, engines int, shared bool) []time.Duration {
 	r := rand.New(rand.NewPCG(7, 7))
 	tables := make([]*Table, vms)
 	for i := range tables {
@@ -41,7 +41,7 @@
 			return true
 		})
 		vm := r.IntN(vms)
-		if told {
+		if shared {
 			sum := map[string]float64{}
 			for o, t := range tables {
 				if o == vm {
@@ -51,9 +51,9 @@
 					sum[id] += w.Work
 				}
 			}
-			tell(tables[vm], now, func(id string) Share { return Share{Work: sum[id]} })
+			setPeerLoad(tables[vm], now, func(id string) Share { return Share{Work: sum[id]} })
 		}
-		// A log-normal size with a mean of 8 thousand tokens, read at 9 ms a thousand.
+		// Sizes are log-normal with a mean of 8 thousand tokens; reading takes 9 ms per thousand.
 		tokens := 3 * math.Exp(1.4*r.NormFloat64())
 		c, _ := tables[vm].Pick(now, r, &Request{Service: "s", Work: 1, Prefill: tokens})
 		q := queues[c.ID]
@@ -74,22 +74,22 @@
 	return waits
 }
 
-// 88 VMs place 250 prompts a second at 30 engines, which need half of the engines' time.
-// Each VM alone sees three a second and chooses nearly at random: callers wait behind
-// large prompts while other engines are idle. Told of the others' work, they don't.
-func TestFleetLoadSparesCallersTheQueue(t *testing.T) {
-	alone, told := playFleet(88, 30, false), playFleet(88, 30, true)
+// Guards against queues behind large prompts while other engines are idle. 88 VMs place 250
+// prompts per second at 30 engines, which are half busy; each VM sees only three per second and
+// without the load from the others it chooses nearly at random.
+func TestPeerLoadReducesWaits(t *testing.T) {
+	alone, shared := simulateFleet(88, 30, false), simulateFleet(88, 30, true)
 	p := func(w []time.Duration, part float64) time.Duration { return w[int(float64(len(w))*part)] }
-	t.Logf("wait, p90 and p99: alone %v %v, told %v %v", p(alone, .9), p(alone, .99), p(told, .9), p(told, .99))
-	require.Less(t, p(told, .90), p(alone, .90)/4)
-	require.Less(t, p(told, .99), p(alone, .99)/4)
+	t.Logf("wait, p90 and p99: alone %v %v, shared %v %v", p(alone, .9), p(alone, .99), p(shared, .9), p(shared, .99))
+	require.Less(t, p(shared, .90), p(alone, .90)/4)
+	require.Less(t, p(shared, .99), p(alone, .99)/4)
 }
 
-// What was told holds for a moment only: a VM whose keeper went silent must not keep
-// away from an engine that was busy seconds ago.
-func TestOldWordOfTheFleetIsForgotten(t *testing.T) {
+// Guards against stale load: a VM that gets no more updates must not avoid an engine that was
+// busy seconds ago.
+func TestStalePeerLoadIsIgnored(t *testing.T) {
 	tb, r := table(2), rng()
-	tell(tb, start, func(id string) Share { return map[string]Share{"e00": {Work: 50}}[id] })
+	setPeerLoad(tb, start, func(id string) Share { return map[string]Share{"e00": {Work: 50}}[id] })
 	for range 20 {
 		c, _ := tb.Pick(start, r, &Request{Service: "s", Work: 1})
 		require.Equal(t, "e01", c.ID)
@@ -97,14 +97,14 @@
 	}
 	used := map[string]bool{}
 	for range 20 {
-		c, _ := tb.Pick(start.Add(toldFor), r, &Request{Service: "s", Work: 1})
+		c, _ := tb.Pick(start.Add(peerLoadMaxAge), r, &Request{Service: "s", Work: 1})
 		used[c.ID] = true
 		tb.Done(start, c, Good)
 	}
 	require.Len(t, used, 2)
 }
 
-// A prompt counts for its size until it is read, and as one request after.
+// A prompt counts with its size until it is read, and as one request afterwards.
 func TestWorkFallsWhenThePromptIsRead(t *testing.T) {
 	tb := table(1)
 	c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1, Prefill: 12})
@@ -116,13 +116,12 @@
 	require.Empty(t, tb.Own(start))
 }
 
-// Half of sixty engines crash at once and refuse connections. They have the least work
-// of all, so that each of 22 VMs of a data centre tried them one after the other, and
-// callers were refused after five. Told what two others found, a VM goes elsewhere; an
-// engine that is back is tried again when those that found it dead look again.
-func TestCrashedEnginesDrawOnlyTheFirstRequests(t *testing.T) {
+// Guards against requests refused after several dials: half of sixty engines crash and refuse
+// connections, and with the least work they attract the requests of each of 22 VMs. A VM avoids
+// an engine that two others avoid, and uses it again when their probes succeed.
+func TestPeersAvoidCrashedEngines(t *testing.T) {
 	const vms, engines = 22, 60
-	dials := func(told bool) (refused, most int) {
+	dials := func(shared bool) (refused, most int) {
 		r := rng()
 		tables := make([]*Table, vms)
 		for i := range tables {
@@ -131,7 +130,7 @@
 		for i := range 1200 {
 			now := start.Add(time.Duration(i) * 4 * time.Millisecond)
 			vm := tables[r.IntN(vms)]
-			if told {
+			if shared {
 				avoiding := map[string]int{}
 				for _, o := range tables {
 					for id, s := range o.Own(now) {
@@ -140,7 +139,7 @@
 						}
 					}
 				}
-				tell(vm, now, func(id string) Share { return Share{Avoided: avoiding[id] >= 2} })
+				setPeerLoad(vm, now, func(id string) Share { return Share{Avoided: avoiding[id] >= 2} })
 			}
 			req := &Request{Service: "s", Work: 1}
 			for {
@@ -159,8 +158,8 @@
 		return refused, most
 	}
 	alone, mostAlone := dials(false)
-	told, mostTold := dials(true)
-	t.Logf("dials refused: alone %d (%d in a row), told %d (%d in a row)", alone, mostAlone, told, mostTold)
-	require.Less(t, 10*told, 6*alone)
-	require.Less(t, mostTold, mostAlone)
+	shared, mostShared := dials(true)
+	t.Logf("dials refused: alone %d (%d in a row), shared %d (%d in a row)", alone, mostAlone, shared, mostShared)
+	require.Less(t, 10*shared, 6*alone)
+	require.Less(t, mostShared, mostAlone)
 }
--- a/policy/placement/pace.go
+++ b/policy/placement/pace.go
@@ -6,48 +6,50 @@
 )
 
 const (
-	// firstPace is the time that engines take for a unit of work before any was seen.
-	firstPace = 4 * time.Millisecond
-	// paceGain is the weight of one request in the pace, about the last fifty.
-	paceGain = 0.02
-	// leastAhead is the work from which a request tells the pace: with less the time on
-	// the way and the engine's first step count for more.
-	leastAhead = 20.0
-	// outlandish bounds what one request may tell, as a multiple of the pace: an engine
-	// that is slow or was frozen says nothing of the others.
-	outlandish = 4
+	// defaultUnitTime is the time that engines take for a unit of work, used until a request is
+	// measured.
+	defaultUnitTime = 4 * time.Millisecond
+	// unitTimeGain is the weight of one request in the moving average, which spans about fifty.
+	unitTimeGain = 0.02
+	// minWorkAhead is the least work from which a request's time is used. Below it the network
+	// time and the engine's first step dominate.
+	minWorkAhead = 20.0
+	// maxSampleRatio bounds one request's time per unit as a multiple of the average, so that
+	// one slow or frozen engine does not distort the estimate for the others.
+	maxSampleRatio = 4
 )
 
-// pace is the time that a service's endpoints take for a unit of work.
-type pace struct{ perUnit float64 } // seconds; 0 for not known
+// unitTime is a moving average of the time that a service's endpoints take for a unit of work.
+type unitTime struct{ perUnit float64 } // seconds; 0 if unknown
 
-func (p *pace) get() float64 {
-	if p.perUnit == 0 {
-		return firstPace.Seconds()
+// get returns the average in seconds, or the default if none is known.
+func (u *unitTime) get() float64 {
+	if u.perUnit == 0 {
+		return defaultUnitTime.Seconds()
 	}
-	return p.perUnit
+	return u.perUnit
 }
 
-// learn takes the time to a first event behind some work.
-func (p *pace) learn(ahead float64, took time.Duration) {
-	if ahead < leastAhead {
+// update adds the time that a request took to its first event with the given work ahead of it.
+func (u *unitTime) update(ahead float64, took time.Duration) {
+	if ahead < minWorkAhead {
 		return
 	}
-	now := p.get()
-	seen := min(took.Seconds()/ahead, outlandish*now)
-	p.perUnit = now + paceGain*(seen-now)
+	average := u.get()
+	measured := min(took.Seconds()/ahead, maxSampleRatio*average)
+	u.perUnit = average + unitTimeGain*(measured-average)
 }
 
-// Outlook is how long a request would wait for its first event.
+// Outlook is an estimate of the time that a request waits for its first event.
 type Outlook struct {
-	// Wait is the time for what is under way before it, Read that for its own prompt.
+	// Wait is the time for the work ahead of the request, Read the time for reading its own
+	// prompt.
 	Wait, Read time.Duration
 }
 
-// Outlook estimates the time to a request's first event at the endpoint with the least
-// under way: the work there and its own, at the pace that the service's requests met
-// lately. The share of an engine's slots in use tells little of it: long prompts make
-// requests wait where most slots are free.
+// Outlook estimates the time to a request's first event at the usable endpoint with the least
+// work under way, by the recent time per unit of work in the service. The share of an engine's
+// slots in use is a poor predictor: long prompts make requests wait while most slots are free.
 func (t *Table) Outlook(now time.Time, rng *rand.Rand, r *Request) Outlook {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,10 +63,10 @@
 	}
 	least := -1.0
 	for _, e := range warm {
-		if under := t.under(now, e); least < 0 || under < least {
+		if under := t.workAt(now, e); least < 0 || under < least {
 			least = under
 		}
 	}
-	unit := p.pace.get() * float64(time.Second)
+	unit := p.unitTime.get() * float64(time.Second)
 	return Outlook{Wait: time.Duration(max(least, 0) * unit), Read: time.Duration((r.Work + r.Prefill) * unit)}
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -21,8 +21,8 @@
 	return t
 }
 
-// tell tells a table what the other VMs have at endpoints.
-func tell(t *Table, now time.Time, of func(id string) Share) {
+// setPeerLoad sets the load from the other VMs at each endpoint of a table.
+func setPeerLoad(t *Table, now time.Time, of func(id string) Share) {
 	shares := make(map[uint32]Share)
 	for id := range t.endpoints {
 		if s := of(id); s != (Share{}) {
@@ -34,9 +34,9 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// An endpoint is lost: nothing new goes there over connections that were idle, the other VMs
-// hear of it, and where all are lost a caller is told so at once. It gets work again when
-// it is back, or when its entry gives another address.
+// Guards against requests on idle connections to an endpoint that does not respond. The other
+// VMs learn of it, and a request fails immediately if all endpoints are lost. The endpoint is
+// used again when it responds or its address changes.
 func TestLostEndpointGetsNothing(t *testing.T) {
 	tb, r := table(2), rng()
 	for i, address := range []string{"a0", "a1"} {
@@ -59,9 +59,9 @@
 	}
 }
 
-// An endpoint refuses connections at once, so that it always has the least under way.
-// It must not draw the traffic: after the first failure it gets one trial at a time,
-// ever more seldom, until a connection holds.
+// Guards against an endpoint that refuses connections attracting the traffic because it has the
+// least work. After a failure it gets one probe at a time, at growing intervals, until a
+// connection succeeds.
 func TestDeadEndpointDrawsNothing(t *testing.T) {
 	tb, r := table(3), rng()
 	var dead []time.Duration
@@ -79,14 +79,14 @@
 	c, _ := tb.Pick(start.Add(time.Minute), r, &Request{Service: "s", Work: 1, Exclude: []string{"e01", "e02"}})
 	require.Equal(t, "e00", c.ID)
 	_, miss := tb.Pick(start.Add(time.Minute), r, &Request{Service: "s", Work: 1, Exclude: []string{"e01", "e02"}})
-	require.Equal(t, AllTried, miss, "a second request beside the trial")
+	require.Equal(t, AllTried, miss, "a second request during the probe")
 	tb.Done(start.Add(time.Minute), c, Good)
 	c, _ = tb.Pick(start.Add(time.Minute), r, &Request{Service: "s", Work: 1, Exclude: []string{"e01", "e02"}})
 	require.Equal(t, "e00", c.ID)
 }
 
-// One endpoint fails most of what it gets while its connections hold. It is left after
-// some requests, and the rest is served by the others.
+// An endpoint that fails most of its requests over intact connections is ejected after some
+// requests.
 func TestFailingEndpointIsLeft(t *testing.T) {
 	tb, r := table(6), rng()
 	failed := 0
@@ -103,8 +103,8 @@
 	require.Less(t, failed, 40)
 }
 
-// Six VMs send all they have to one cold endpoint that bears ten requests a second.
-// Whatever they have, no second may see more than its rate and half as much.
+// Six VMs send as much as they may to one cold endpoint with a limit of ten requests per
+// second. No second may exceed the limit by more than half.
 func TestColdRateHoldsOverVMs(t *testing.T) {
 	const vms, rate = 6, 10.0
 	var at []time.Time
@@ -133,7 +133,7 @@
 	}
 }
 
-// A VM without a part of a cold endpoint's rate sends it nothing; a warm one is taken first.
+// A VM without a share of a cold endpoint's rate sends it nothing; warm endpoints go first.
 func TestColdEndpoints(t *testing.T) {
 	tb, r := table(1), rng()
 	tb.Set(start, Spec{ID: "cold", Service: "s", DataCentre: "a", Slots: 8, Cold: 3 * time.Second, ColdLimited: true, ColdRate: 5})
@@ -149,8 +149,8 @@
 	require.Equal(t, Picked, miss)
 }
 
-// Requests with a shared part go to the same two endpoints on each VM, until these have
-// more before them than reading the part again would take.
+// Requests with a shared prefix go to the same two endpoints on each VM until the work there
+// exceeds the cost of reading the prefix again.
 func TestSharedPartStaysTogether(t *testing.T) {
 	used := map[string]int{}
 	for v := range 5 {
@@ -173,8 +173,8 @@
 	}
 }
 
-// Seven VMs decide apart, each sees only its own requests and the endpoints' answers.
-// No endpoint may get much more than the others.
+// Guards against herding: seven VMs decide independently, each from its own requests, and no
+// endpoint may get many more requests than the others.
 func TestVMsDoNotHerd(t *testing.T) {
 	const vms, endpoints = 7, 9
 	var tables []*Table
@@ -208,11 +208,11 @@
 		most = max(most, running[c.ID])
 		jobs = append(jobs, job{vm, c, now.Add(time.Duration(200+r.IntN(200)) * time.Millisecond)})
 	}
-	// 30 run at once on 9 endpoints, 3.3 each.
+	// About 30 requests run at once on 9 endpoints, 3.3 each.
 	require.LessOrEqual(t, most, 9)
 }
 
-func TestWhatMayServe(t *testing.T) {
+func TestEligibleEndpoints(t *testing.T) {
 	tb, r := New("a"), rng()
 	tb.Set(start, Spec{ID: "old", Service: "s", DataCentre: "a", Region: "x", Version: "v1", Slots: 8})
 	tb.Set(start, Spec{ID: "new", Service: "s", DataCentre: "b", Region: "y", Version: "v2", Slots: 8})
@@ -245,9 +245,9 @@
 	}
 }
 
-// Three thousand engines, a handful of them busy or dead. A choice looks at a sample: it
-// must find an idle engine, keep a shared part together on the engines that all VMs
-// know for it, and find the one that may serve where all others may not.
+// In a pool of three thousand engines a choice looks at a sample. It must still find an idle
+// engine, keep a shared prefix on the engines that all VMs prefer for it, and find the only
+// eligible endpoint.
 func TestChoiceAmongThousands(t *testing.T) {
 	const n = 3000
 	a, b := table(n), table(n)
@@ -263,9 +263,9 @@
 		used[c.ID]++
 		tb.Done(start, c, Good)
 	}
-	require.LessOrEqual(t, len(used), affine, "both VMs keep the part at the same engines")
+	require.LessOrEqual(t, len(used), affinityReplicas, "both VMs keep the prefix on the same engines")
 
-	tell(a, start, func(id string) Share {
+	setPeerLoad(a, start, func(id string) Share {
 		if id < "e2900" {
 			return Share{Work: 50}
 		}
@@ -284,5 +284,5 @@
 	c, miss := a.Pick(start, r, &Request{Service: "s", Work: 1, Version: "v2"})
 	require.Equal(t, Picked, miss)
 	require.Equal(t, "only", c.ID)
-	require.Len(t, a.Own(start), 201, "only what is under way is told")
+	require.Len(t, a.Own(start), 201, "only endpoints with work under way are reported")
 }
--- a/policy/placement/record_test.go
+++ b/policy/placement/record_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// playLostAnswers lets 120 VMs send to 100 engines, of which 60 lose four answers in ten from the
-// second second on, and returns how many requests failed at three engines in a row, and how
-// many attempts. With told, a VM takes the fleet's records twice a second.
-func playLostAnswers(told bool) (unserved, failed int) {
+// simulateLostAnswers lets 120 VMs send to 100 engines, of which 60 lose 40% of the answers
+// after the first second. It returns how many requests failed at three engines in a row and how
+// many attempts failed. With shared, a VM gets the records of all VMs twice a second.
+func simulateLostAnswers(shared bool) (unserved, failed int) {
 	const vms, engines, perSecond, seconds = 120, 100, 300, 8
 	r := rand.New(rand.NewPCG(3, 9))
 	tables := make([]*Table, vms)
@@ -21,7 +21,7 @@
 	}
 	for i := range seconds * perSecond {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
-		if told && i%(perSecond/2) == 0 {
+		if shared && i%(perSecond/2) == 0 {
 			sums := pooled(tables, now)
 			for _, t := range tables {
 				t.SetRecords(now, sums)
@@ -60,7 +60,7 @@
 	out := make(map[uint32]Record)
 	for _, t := range tables {
 		for id, rec := range t.Records(now) {
-			short := t.endpoints[id].rank.Short()
+			short := t.endpoints[id].idHash.Short()
 			s := out[short]
 			out[short] = Record{Failed: s.Failed + rec.Failed, Runs: s.Runs + rec.Runs}
 		}
@@ -68,16 +68,18 @@
 	return out
 }
 
-// Each VM meets an engine too seldom to find by itself that it loses answers.
+// Guards against engines that lose answers unnoticed: each VM sees an engine too seldom to
+// judge it alone.
 func TestFleetLeavesEnginesThatLoseAnswers(t *testing.T) {
-	aloneUnserved, aloneFailed := playLostAnswers(false)
-	toldUnserved, toldFailed := playLostAnswers(true)
-	t.Logf("of 1800 requests unserved: alone %d, told %d; failed attempts: alone %d, told %d", aloneUnserved, toldUnserved, aloneFailed, toldFailed)
-	require.Less(t, 3*toldFailed, aloneFailed)
-	require.LessOrEqual(t, toldUnserved, aloneUnserved/4)
+	aloneUnserved, aloneFailed := simulateLostAnswers(false)
+	sharedUnserved, sharedFailed := simulateLostAnswers(true)
+	t.Logf("of 1800 requests unserved: alone %d, shared %d; failed attempts: alone %d, shared %d", aloneUnserved, sharedUnserved, aloneFailed, sharedFailed)
+	require.Less(t, 3*sharedFailed, aloneFailed)
+	require.LessOrEqual(t, sharedUnserved, aloneUnserved/4)
 }
 
-// Requests that fail everywhere must not send all VMs to the endpoints that failed fewest.
+// Requests that fail at all endpoints must not move the load of all VMs to those with the
+// fewest failures.
 func TestFailuresOfRequestsShiftNoLoad(t *testing.T) {
 	const vms, endpoints, perSecond, seconds = 120, 9, 160, 10
 	r := rand.New(rand.NewPCG(4, 1))
@@ -107,18 +109,18 @@
 	}
 }
 
-// An engine that is the only one left must serve, whatever it failed before.
+// The only engine of a service must serve, whatever it failed before.
 func TestFailingEngineIsUsedWhereNoOtherIs(t *testing.T) {
 	tb := table(1)
-	tb.SetRecords(start, map[uint32]Record{tb.endpoints["e00"].rank.Short(): {Failed: 9, Runs: 9, OtherLife: true}})
+	tb.SetRecords(start, map[uint32]Record{tb.endpoints["e00"].idHash.Short(): {Failed: 9, Runs: 9, OtherLife: true}})
 	c, miss := tb.Pick(start, rng(), &Request{Service: "s", Work: 1})
 	require.Equal(t, Picked, miss)
 	require.Equal(t, "e00", c.ID)
 	tb.Done(start, c, Good)
 }
 
-// Requests that were under way end well after a broken one: another life that is met then must
-// be left all the same.
+// Requests that were under way may succeed after a broken connection. Another incarnation that
+// answers next must be avoided all the same.
 func TestOtherLifeIsLeftAfterASuccess(t *testing.T) {
 	tb, r := table(2), rng()
 	var under []Choice
@@ -130,26 +132,26 @@
 		tb.Done(start, under[i], o)
 	}
 	for range 20 {
-		c, _ := tb.Pick(start.Add(otherLife/2), r, &Request{Service: "s", Work: 1})
+		c, _ := tb.Pick(start.Add(otherLifeAvoidance/2), r, &Request{Service: "s", Work: 1})
 		require.Equal(t, "e01", c.ID)
 		tb.Done(start, c, Good)
 	}
 }
 
-// The last endpoint of a service leaves while the fleet holds something against it.
+// Guards against a crash when the last endpoint of a service is removed while it has a record.
 func TestRemovedEndpointIsJudgedNoMore(t *testing.T) {
 	tb := table(1)
-	short := tb.endpoints["e00"].rank.Short()
+	short := tb.endpoints["e00"].idHash.Short()
 	tb.SetRecords(start, map[uint32]Record{short: {Failed: 9, Runs: 16}})
 	tb.Remove("e00")
 	require.Empty(t, tb.SetRecords(start, map[uint32]Record{short: {Failed: 9, Runs: 16}}))
 	require.Empty(t, tb.SetRecords(start, nil))
 }
 
-// A judgement is told when it becomes bad and when it becomes good, not in between.
+// A change of judgement is returned once, when it turns bad and when it turns good.
 func TestChangedJudgementsAreTold(t *testing.T) {
 	tb := table(4)
-	short := tb.endpoints["e00"].rank.Short()
+	short := tb.endpoints["e00"].idHash.Short()
 	bad := map[uint32]Record{short: {Failed: 9, Runs: 16}}
 	require.Equal(t, []Judgement{{ID: "e00", Failing: 0.4}}, tb.SetRecords(start, bad))
 	require.Empty(t, tb.SetRecords(start, bad))
@@ -158,15 +160,15 @@
 	require.Equal(t, []Judgement{{ID: "e00", OtherLife: true}}, tb.SetRecords(start, map[uint32]Record{short: {OtherLife: true}}))
 }
 
-// Old word must not keep an engine empty that has recovered.
-func TestOldRecordsAreForgotten(t *testing.T) {
+// Stale records must not keep a recovered engine empty.
+func TestStaleRecordsAreIgnored(t *testing.T) {
 	tb := table(2)
-	tb.SetRecords(start, map[uint32]Record{tb.endpoints["e00"].rank.Short(): {Failed: 9, Runs: 9}})
+	tb.SetRecords(start, map[uint32]Record{tb.endpoints["e00"].idHash.Short(): {Failed: 9, Runs: 9}})
 	used := make(map[string]int)
 	for i := range 40 {
 		now := start
 		if i >= 20 {
-			now = start.Add(recordsFor)
+			now = start.Add(recordsMaxAge)
 		}
 		c, _ := tb.Pick(now, rand.New(rand.NewPCG(uint64(i), 1)), &Request{Service: "s", Work: 1})
 		used[fmt.Sprint(i >= 20, c.ID)]++
@@ -176,15 +178,16 @@
 	require.Positive(t, used["truee00"])
 }
 
-// Another life answers at an engine's address: the fleet hears of it from the first VM that met it.
+// When another incarnation answers at an engine's address, the VM that sees it reports it and
+// the others avoid the engine.
 func TestOtherLifeIsTold(t *testing.T) {
 	tb := table(2)
 	c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1, Exclude: []string{"e01"}})
 	tb.Done(start, c, Gone)
 	require.Equal(t, map[string]Record{"e00": {OtherLife: true}}, tb.Records(start))
-	require.Empty(t, tb.Records(start.Add(otherLife)))
+	require.Empty(t, tb.Records(start.Add(otherLifeAvoidance)))
 	other := table(2)
-	other.SetRecords(start, map[uint32]Record{other.endpoints["e00"].rank.Short(): {OtherLife: true}})
+	other.SetRecords(start, map[uint32]Record{other.endpoints["e00"].idHash.Short(): {OtherLife: true}})
 	for range 20 {
 		c, _ := other.Pick(start, rng(), &Request{Service: "s", Work: 1})
 		require.Equal(t, "e01", c.ID)
--- a/policy/placement/rows.go
+++ b/policy/placement/rows.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Row is one endpoint in a state dump: why it gets work or not.
+// Row is one endpoint in a state dump, with the reasons why it gets work or not.
 type Row struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
@@ -19,8 +19,8 @@
 	AvoidMs    int64  `json:"avoidMs"`
 	Lost       bool   `json:"lost"`
 	Detector   int    `json:"detector"`
-	// Failing is the share of its requests that the fleet saw it fail beyond what is usual in
-	// its service; OtherLife says that another life answers at its address.
+	// Failing is the share of its requests that the endpoint fails beyond what is usual in its
+	// service, over all VMs; OtherLife says that another incarnation answers at its address.
 	Failing   float64 `json:"failing"`
 	OtherLife bool    `json:"otherLife"`
 	Load      float64 `json:"load"`
@@ -28,7 +28,7 @@
 	Slots     int     `json:"slots"`
 }
 
-// Rows lists all endpoints by id.
+// Rows returns all endpoints, sorted by ID.
 func (t *Table) Rows(now time.Time) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,10 +36,10 @@
 	for _, e := range t.endpoints {
 		out = append(out, Row{
 			ID: e.ID, Service: e.Service, Address: e.Address, DataCentre: e.DataCentre, Version: e.Version,
-			Draining: e.Draining, Out: t.out[e.DataCentre], ColdMs: max(e.coldUntil.Sub(now).Milliseconds(), 0),
-			AvoidMs: max(e.avoidUntil.Sub(now).Milliseconds(), 0), Lost: e.lost, Detector: int(e.detected),
-			Failing: e.worse, OtherLife: e.fleet.OtherLife,
-			Load: e.running, Running: e.requests, Slots: e.Slots,
+			Draining: e.Draining, Out: t.dataCentresOut[e.DataCentre], ColdMs: max(e.coldUntil.Sub(now).Milliseconds(), 0),
+			AvoidMs: max(e.avoidUntil.Sub(now).Milliseconds(), 0), Lost: e.lost, Detector: int(e.outlierState),
+			Failing: e.excessFailures, OtherLife: e.fleetRecord.OtherLife,
+			Load: e.load, Running: e.requests, Slots: e.Slots,
 		})
 	}
 	slices.SortFunc(out, func(a, b Row) int { return strings.Compare(a.ID, b.ID) })
--- a/policy/placement/table.go
+++ b/policy/placement/table.go
@@ -10,118 +10,124 @@
 	"goldcrestfork/policy/outlier"
 )
 
-// affine is how many endpoints a shared prompt part is kept on: two, so that a
-// part in demand has a second place when the first is busy or gone.
-const affine = 2
+// affinityReplicas is the number of endpoints preferred for a shared prefix: the second one
+// serves a prefix in demand when the first is busy or gone.
+const affinityReplicas = 2
 
-// Request is what a choice depends on.
+// Request holds the inputs of a choice.
 type Request struct {
 	Service string
-	// Version is the only version that may serve, NotVersion one that may not; empty for any.
+	// Version is the only version that may serve, NotVersion one that may not; empty for no
+	// restriction.
 	Version, NotVersion string
-	// Regions are where it may run; empty for all.
+	// Regions are those that may serve; empty for all.
 	Regions []string
-	// Exclude are endpoints that it was sent to before.
+	// Exclude lists the IDs of endpoints that the request was already sent to.
 	Exclude []string
-	// Affinity names the shared prompt part and the model that reads it; empty for none.
+	// Affinity identifies the shared prompt prefix and the model that reads it; empty for none.
 	Affinity string
-	// Saving is what an endpoint that has read the part saves, in requests' worth of work.
+	// Saving is the work that an endpoint with the prefix in its cache saves, in requests.
 	Saving float64
-	// Work is the request's weight among others, 1 for a usual one.
+	// Work is the load of the request while it generates, 1 for a usual one.
 	Work float64
-	// Prefill is the work of reading its prompt, in the same unit; it counts until Began.
+	// Prefill is the work of reading its prompt, in the same unit; it counts until the first
+	// event.
 	Prefill float64
 }
 
 func (r *Request) inRegion(region string) bool { return slices.Contains(r.Regions, region) }
 func (r *Request) excluded(id string) bool     { return slices.Contains(r.Exclude, id) }
 
-// Choice is an endpoint with one request's place taken; give it back by Table.Done.
+// Choice is an endpoint with the load of one request added; Table.Done removes it.
 type Choice struct {
 	ID, Address, DataCentre, Version string
 	// Cold says that the endpoint is in cold start.
 	Cold bool
-	// Expected is when the request's first event is expected; only for work that tells it,
-	// as prompts do.
+	// Expected is the estimated time to the request's first event. It is meaningful only if the
+	// request's work is known, as for prompts.
 	Expected time.Duration
-	// work is what the request counts for now; Began and Done change it.
-	work *float64
-	rest float64 // what it counts for when its prompt is read
-	// ahead is the work that was to be done before its first event, its own included,
-	// and at when it was sent.
-	ahead float64
-	at    time.Time
+	// work is the request's current contribution to the load; it changes when the prompt is
+	// read and when the request ends.
+	work            *float64
+	workAfterPrompt float64 // contribution after the prompt is read
+	// ahead is the work up to the request's first event, its own included, and sentAt the time
+	// of the choice.
+	ahead  float64
+	sentAt time.Time
 }
 
-// Miss says why nothing was chosen.
+// Miss is the reason why no endpoint was chosen.
 type Miss int
 
-// The reasons for no choice.
+// Values of Miss.
 const (
+	// Picked: an endpoint was chosen.
 	Picked Miss = iota
-	// NoEndpoint: none may serve the request.
+	// NoEndpoint: no endpoint may serve the request.
 	NoEndpoint
-	// AllCold: those that may are in cold start and have their share.
+	// AllCold: the eligible endpoints are in cold start and have no request budget left.
 	AllCold
-	// AllTried: the request was at all of them.
+	// AllTried: the request was already sent to all eligible endpoints.
 	AllTried
 )
 
-// Outcome is what an attempt told of its endpoint.
+// Outcome is the result of an attempt, as far as it concerns the endpoint.
 type Outcome int
 
-// The outcomes of an attempt.
+// Values of Outcome.
 const (
-	// Neutral tells nothing, as when the caller left.
+	// Neutral says nothing about the endpoint, for example when the caller left.
 	Neutral Outcome = iota
-	// Good: it answered as it should.
+	// Good: the endpoint answered correctly.
 	Good
-	// Failed: it answered, but not with what it should.
+	// Failed: the endpoint answered with a failure.
 	Failed
-	// Full: it refused for want of room.
+	// Full: the endpoint refused the request for lack of capacity.
 	Full
-	// Unreached: the connection could not be made.
+	// Unreached: no connection could be made.
 	Unreached
 	// Broken: the connection broke.
 	Broken
-	// Gone: another life answers at its address.
+	// Gone: another incarnation answered at the endpoint's address.
 	Gone
 )
 
-// Table holds the endpoints of all services. It is safe for concurrent use.
+// Table holds the endpoints of all services with their load and health. It is safe for
+// concurrent use.
 type Table struct {
-	// DataCentre is this VM's own, which wins between equals.
+	// DataCentre is this VM's own, which is preferred among equals.
 	DataCentre string
 
-	mu        sync.Mutex
-	endpoints map[string]*endpoint
-	services  map[string]*pool
-	out       map[string]bool
-	// busy are the endpoints that this VM has something to tell of: few of thousands.
+	mu             sync.Mutex
+	endpoints      map[string]*endpoint
+	services       map[string]*pool
+	dataCentresOut map[string]bool
+	// busy holds the endpoints that this VM has load or records of: few among thousands.
 	busy map[*endpoint]struct{}
-	// short are the endpoints by the names that VMs use among each other.
-	short map[uint32]*endpoint
-	// told are the endpoints of which the other VMs told, at toldAt.
-	told   []*endpoint
-	toldAt time.Time
-	// judged are the endpoints of whose failures the fleet told, at judgedAt.
-	judged   []*endpoint
-	judgedAt time.Time
+	// byShortName indexes the endpoints by the short names that VMs use among themselves.
+	byShortName map[uint32]*endpoint
+	// withPeerLoad lists the endpoints with load from other VMs, set at peerLoadAt.
+	withPeerLoad []*endpoint
+	peerLoadAt   time.Time
+	// withRecords lists the endpoints with records of all VMs, set at recordsAt.
+	withRecords []*endpoint
+	recordsAt   time.Time
 }
 
+// pool is the endpoints of one service.
 type pool struct {
-	list     []*endpoint
-	detector *outlier.Detector
-	changed  bool // list changed since the detector was told
-	pace     pace
+	list          []*endpoint
+	detector      *outlier.Detector
+	detectorStale bool // list changed since the detector was updated
+	unitTime      unitTime
 }
 
-// New returns a table without endpoints for a VM in a data centre.
+// New returns a table without endpoints for a VM in the given data centre.
 func New(dataCentre string) *Table {
-	return &Table{DataCentre: dataCentre, endpoints: make(map[string]*endpoint), services: make(map[string]*pool), short: make(map[uint32]*endpoint), busy: make(map[*endpoint]struct{})}
+	return &Table{DataCentre: dataCentre, endpoints: make(map[string]*endpoint), services: make(map[string]*pool), byShortName: make(map[uint32]*endpoint), busy: make(map[*endpoint]struct{})}
 }
 
-// Set adds an endpoint or takes a change of one.
+// Set adds an endpoint or updates it.
 func (t *Table) Set(now time.Time, s Spec) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,30 +137,30 @@
 		e = nil
 	}
 	if e == nil {
-		e = &endpoint{Spec: s, rank: rendezvous.Mark(s.ID)}
+		e = &endpoint{Spec: s, idHash: rendezvous.Mark(s.ID)}
 		t.endpoints[s.ID] = e
-		t.short[e.rank.Short()] = e
+		t.byShortName[e.idHash.Short()] = e
 		p := t.services[s.Service]
 		if p == nil {
 			p = &pool{detector: outlier.New()}
 			t.services[s.Service] = p
 		}
 		p.list = append(p.list, e)
-		p.changed = true
+		p.detectorStale = true
 	}
 	if e.Address != s.Address {
 		e.lost = false
 	}
 	e.Spec = s
-	e.out = t.out[s.DataCentre]
-	// A report never shortens a cold start: it may have been on its way while the
-	// endpoint was met cold.
+	e.dataCentreOut = t.dataCentresOut[s.DataCentre]
+	// A report never shortens a cold start: it may have been sent before the endpoint was found
+	// cold.
 	if until := now.Add(s.Cold); s.Cold > 0 && until.After(e.coldUntil) {
 		e.coldUntil = until
 	}
 }
 
-// Remove takes an endpoint out.
+// Remove deletes an endpoint; unknown IDs are ignored.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,40 +173,41 @@
 		return
 	}
 	delete(t.endpoints, id)
-	delete(t.short, e.rank.Short())
+	delete(t.byShortName, e.idHash.Short())
 	delete(t.busy, e)
-	t.judged = slices.DeleteFunc(t.judged, func(o *endpoint) bool { return o == e })
+	t.withRecords = slices.DeleteFunc(t.withRecords, func(o *endpoint) bool { return o == e })
 	p := t.services[e.Service]
 	p.list = slices.DeleteFunc(p.list, func(o *endpoint) bool { return o == e })
-	p.changed = true
+	p.detectorStale = true
 }
 
-// detect returns the detector of the endpoints as they are. It is told of a change when it
-// is next needed: thousands of endpoints that come one by one would each cost a round of
-// all.
-func (p *pool) detect() *outlier.Detector {
-	if p.changed {
+// currentDetector returns the detector with the pool's present endpoints. The detector is
+// updated only when it is next needed: thousands of endpoints that are added one by one would
+// each cost a pass over all.
+func (p *pool) currentDetector() *outlier.Detector {
+	if p.detectorStale {
 		names := make([]string, len(p.list))
 		for i, e := range p.list {
 			names[i] = e.ID
 		}
 		p.detector.Set(names)
-		p.changed = false
+		p.detectorStale = false
 	}
 	return p.detector
 }
 
-// SetOut names the data centres whose endpoints get nothing.
+// SetOut sets the data centres whose endpoints get no requests.
 func (t *Table) SetOut(out map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.out = out
+	t.dataCentresOut = out
 	for _, e := range t.endpoints {
-		e.out = out[e.DataCentre]
+		e.dataCentreOut = out[e.DataCentre]
 	}
 }
 
-// SetLost says that nothing comes from the endpoint at an address, or that it is back.
+// SetLost sets whether the endpoint at an address is unresponsive. Lost endpoints get no
+// requests.
 func (t *Table) SetLost(address string, lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,7 +219,7 @@
 	}
 }
 
-// Pick chooses an endpoint and takes a place on it.
+// Pick chooses an endpoint and adds the request's load to it.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (Choice, Miss) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,8 +227,8 @@
 	if p == nil {
 		return Choice{}, NoEndpoint
 	}
-	for _, c := range p.detect().Due(now) {
-		t.endpoints[c.Endpoint].detected = c.State
+	for _, c := range p.currentDetector().Due(now) {
+		t.endpoints[c.Endpoint].outlierState = c.State
 	}
 	warm, cold, tried := t.candidates(now, rng, p, r)
 	e := t.best(now, rng, warm, r)
@@ -236,20 +243,20 @@
 			}
 			return Choice{}, NoEndpoint
 		}
-		e.takeCold(now, true)
+		e.admitCold(now, true)
 	}
 	work := r.Work + r.Prefill
-	ahead := t.under(now, e) + work
-	e.running += work
+	ahead := t.workAt(now, e) + work
+	e.load += work
 	e.requests++
 	t.busy[e] = struct{}{}
 	if e.avoidFor > 0 {
-		e.trial = true
+		e.probing = true
 	}
 	return Choice{
 		ID: e.ID, Address: e.Address, DataCentre: e.DataCentre, Version: e.Version, Cold: e.cold(now),
-		Expected: time.Duration(ahead * p.pace.get() * float64(time.Second)),
-		work:     &work, rest: r.Work, ahead: ahead, at: now,
+		Expected: time.Duration(ahead * p.unitTime.get() * float64(time.Second)),
+		work:     &work, workAfterPrompt: r.Work, ahead: ahead, sentAt: now,
 	}, Picked
 }
 
@@ -257,59 +264,59 @@
 	return slices.ContainsFunc(p.list, func(e *endpoint) bool { return e.cold(now) })
 }
 
-// Began says that the endpoint has read the request's prompt.
+// Began moves the request from reading its prompt to generating, at its first event.
 func (t *Table) Began(now time.Time, c Choice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.endpoints[c.ID]; e != nil {
-		e.running = max(e.running-*c.work+c.rest, 0)
-		t.services[e.Service].pace.learn(c.ahead, now.Sub(c.at))
+		e.load = max(e.load-*c.work+c.workAfterPrompt, 0)
+		t.services[e.Service].unitTime.update(c.ahead, now.Sub(c.sentAt))
 	}
-	*c.work = c.rest
+	*c.work = c.workAfterPrompt
 }
 
-// Share is what the VMs tell each other of an endpoint.
+// Share is what VMs tell each other about an endpoint.
 type Share struct {
-	// Work is what is under way there.
+	// Work is the VM's work under way there.
 	Work float64
-	// Avoided says that it broke or refused connections a moment ago.
+	// Avoided says that the endpoint is lost or recently broke or refused connections.
 	Avoided bool
 }
 
-// Own is what this VM has to tell, by endpoint.
+// Own returns this VM's shares, by endpoint ID.
 func (t *Table) Own(now time.Time) map[string]Share {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]Share, len(t.busy))
 	for e := range t.busy {
-		if avoided := e.lost || now.Before(e.avoidUntil); avoided || e.running > 0 {
-			out[e.ID] = Share{Work: e.running, Avoided: avoided}
-		} else if e.requests == 0 && !e.record.tells(now) {
+		if avoided := e.lost || now.Before(e.avoidUntil); avoided || e.load > 0 {
+			out[e.ID] = Share{Work: e.load, Avoided: avoided}
+		} else if e.requests == 0 && !e.record.reportable(now) {
 			delete(t.busy, e)
 		}
 	}
 	return out
 }
 
-// SetElsewhere takes what the other VMs tell, by the endpoints' short names
-// (rendezvous.Hash.Short); of those not named there is nothing to tell.
+// SetElsewhere sets the combined shares of the other VMs by the endpoints' short names
+// (rendezvous.Hash.Short). Endpoints that are not named have none.
 func (t *Table) SetElsewhere(now time.Time, shares map[uint32]Share) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range t.told {
-		e.elsewhere = Share{}
+	for _, e := range t.withPeerLoad {
+		e.peerLoad = Share{}
 	}
-	t.told = t.told[:0]
+	t.withPeerLoad = t.withPeerLoad[:0]
 	for short, share := range shares {
-		if e := t.short[short]; e != nil {
-			e.elsewhere = share
-			t.told = append(t.told, e)
+		if e := t.byShortName[short]; e != nil {
+			e.peerLoad = share
+			t.withPeerLoad = append(t.withPeerLoad, e)
 		}
 	}
-	t.toldAt = now
+	t.peerLoadAt = now
 }
 
-// Done gives a place back with what the attempt told.
+// Done removes the request's load and records the outcome of the attempt.
 func (t *Table) Done(now time.Time, c Choice, o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -317,14 +324,14 @@
 	if e == nil {
 		return
 	}
-	e.running = max(e.running-*c.work, 0)
+	e.load = max(e.load-*c.work, 0)
 	e.requests = max(e.requests-1, 0)
 	switch o {
 	case Good, Failed:
 		e.succeeded()
 		e.record.add(now, o == Failed)
-		if c, changed := t.services[e.Service].detect().Record(now, outlier.Result{Endpoint: e.ID, Failed: o == Failed}); changed {
-			e.detected = c.State
+		if c, changed := t.services[e.Service].currentDetector().Record(now, outlier.Result{Endpoint: e.ID, Failed: o == Failed}); changed {
+			e.outlierState = c.State
 		}
 	case Broken:
 		e.record.add(now, true)
@@ -332,17 +339,17 @@
 	case Unreached:
 		e.failed(now)
 	case Gone:
-		e.record.goneUntil = now.Add(otherLife)
+		e.record.otherLifeUntil = now.Add(otherLifeAvoidance)
 		e.failed(now)
-		e.avoidFor, e.avoidUntil = max(e.avoidFor, firstAvoidance), e.record.goneUntil
+		e.avoidFor, e.avoidUntil = max(e.avoidFor, minAvoidance), e.record.otherLifeUntil
 	case Full:
 		e.succeeded()
 	case Neutral:
-		e.trial = false
+		e.probing = false
 	}
 }
 
-// Cold marks an endpoint as cold for a while, as when it said so in an answer.
+// Cold marks an endpoint as cold for a time, for example when it reports so in an answer.
 func (t *Table) Cold(now time.Time, id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
