--- a/policy/patience/doc.go
+++ b/policy/patience/doc.go
@@ -1,14 +1,14 @@
-// Package patience decides how long a request that may run again waits for the head of its
-// answer at one endpoint before it is sent to another.
+// Package patience decides how long a retryable request waits for the head of its answer at
+// one endpoint before it is sent to another.
 //
-// Load pattern: an endpoint takes connections and requests, and some of its answers never
-// come; its health is good and other requests there are answered. Beside it: an overload, in
-// which all answers are late and each request sent twice makes them later.
+// Load pattern: an endpoint accepts connections and requests but never answers some of them; it
+// is healthy otherwise and answers other requests. At other times an overload delays all
+// answers, and sending each request twice delays them further.
 //
-// Without it: a caller waits for its whole time, or until it gives up by itself, beside
-// endpoints that would have answered within some ten ms.
+// Without it: a caller waits until its deadline, or until it gives up, although other endpoints
+// would answer within tens of milliseconds.
 //
 // The package has no network and no clock.
 //
-// Lock order: Times.mu is a leaf.
+// Lock order: the mutex of the package is a leaf.
 package patience
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -7,91 +7,93 @@
 )
 
 const (
-	// estimateTimes is how many times longer than estimated an answer may take: estimates
-	// from the work under way are within twice the true time for nine in ten.
-	estimateTimes = 4
-	// aimShare is the least patience as a share of the time in which the answer is wanted;
-	// what is left then is enough for another endpoint.
-	aimShare = 0.4
-	// leftShare is the most that a request waits, as a share of the time it has left.
-	leftShare = 0.5
+	// estimateFactor is how many times the estimated time an answer may take. Nine in ten
+	// estimates from the work under way are within a factor of two of the true time.
+	estimateFactor = 4
+	// minAimShare is the shortest wait as a share of the target latency; the rest is enough for
+	// another endpoint.
+	minAimShare = 0.4
+	// maxLeftShare is the longest wait as a share of the caller's remaining time.
+	maxLeftShare = 0.5
 )
 
-// Attempt is what patience depends on.
+// Attempt holds the inputs of the decision for one attempt.
 type Attempt struct {
-	// Within is a time that nearly all heads come within; 0 for not known.
+	// Within is a time within which nearly all heads arrive; 0 if unknown.
 	Within time.Duration
-	// Aim is when the answer is wanted, Left the time that the caller still has.
+	// Aim is the target latency of the answer, Left the caller's remaining time.
 	Aim, Left time.Duration
-	// AttemptsLeft are those that may follow this one.
+	// AttemptsLeft is the number of attempts that may follow this one.
 	AttemptsLeft int
 }
 
-// WithinOf is that time for an estimate from the work under way; 0 for none.
-func WithinOf(estimate time.Duration) time.Duration { return estimateTimes * estimate }
+// WithinOf derives Attempt.Within from an estimate based on the work under way; 0 if there is
+// none.
+func WithinOf(estimate time.Duration) time.Duration { return estimateFactor * estimate }
 
-// For returns how long to wait for the head; ok is false where the attempt is to be waited
-// out: there is none after it, or no time for one, or nothing to judge the wait by.
+// For returns how long to wait for the head. ok is false if the attempt runs until the caller's
+// deadline: no attempt or no time is left for another one, or the expected time is unknown.
 func For(a Attempt) (wait time.Duration, ok bool) {
 	if a.AttemptsLeft < 1 || a.Aim <= 0 || a.Within <= 0 {
 		return 0, false
 	}
-	wait = max(a.Within, time.Duration(aimShare*float64(a.Aim)))
-	return wait, wait <= time.Duration(leftShare*float64(a.Left))
+	wait = max(a.Within, time.Duration(minAimShare*float64(a.Aim)))
+	return wait, wait <= time.Duration(maxLeftShare*float64(a.Left))
 }
 
-// Times learns how long the answers of services take that tell nothing of the work before
-// them. It is safe for concurrent use.
+// Times estimates the answer times of services whose requests carry no estimate of their work.
+// It is safe for concurrent use.
 type Times struct {
 	mu       sync.Mutex
-	services map[string]*meter
+	services map[string]*latencyEstimator
 }
 
-// NewTimes returns times of which none is known.
-func NewTimes() *Times { return &Times{services: make(map[string]*meter)} }
+// NewTimes returns an estimator without samples.
+func NewTimes() *Times { return &Times{services: make(map[string]*latencyEstimator)} }
 
-// Learn takes the time of one answer. Waits for answers that didn't come aren't learnt: they
-// would be waited for longer and longer.
+// Learn adds the time of one answer. Waits without an answer must not be added: they would
+// lengthen the estimate each time.
 func (t *Times) Learn(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.services[service]
 	if m == nil {
-		m = &meter{}
+		m = &latencyEstimator{}
 		t.services[service] = m
 	}
-	m.learn(took.Seconds())
+	m.update(took.Seconds())
 }
 
-// Within is a time that nearly all answers of a service come within; 0 for not known.
+// Within returns a time within which nearly all answers of a service arrive; 0 if unknown.
 func (t *Times) Within(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.services[service]
-	if m == nil || m.n < leastSeen {
+	if m == nil || m.count < minSamples {
 		return 0
 	}
-	return time.Duration((m.mean + deviations*m.deviation) * float64(time.Second))
+	return time.Duration((m.mean + deviationFactor*m.deviation) * float64(time.Second))
 }
 
-// meter is a mean and a mean deviation, as a TCP sender's of its round trips (RFC 6298).
-type meter struct {
-	n               int
+// latencyEstimator keeps a smoothed mean and mean deviation, like TCP's round-trip estimator
+// (RFC 6298).
+type latencyEstimator struct {
+	count           int
 	mean, deviation float64 // seconds
 }
 
 const (
-	// leastSeen is the number of answers that tell a time.
-	leastSeen = 8
-	// meanGain and deviationGain are the weights of one answer.
+	// minSamples is the number of answers needed for an estimate.
+	minSamples = 8
+	// meanGain and deviationGain are the weights of one answer in the moving averages.
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// deviations are added to the mean.
-	deviations = 4
+	// deviationFactor is the number of mean deviations added to the mean.
+	deviationFactor = 4
 )
 
-func (m *meter) learn(took float64) {
-	if m.n++; m.n == 1 {
+func (m *latencyEstimator) update(took float64) {
+	if m.count++; m.count == 1 {
 		m.mean, m.deviation = took, took/2
 		return
 	}
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -26,7 +26,7 @@
 		"a share of the aim":  {base, 600 * time.Millisecond, true},
 		"long prompt":         {with(func(a *Attempt) { a.Within = 2 * time.Second }), 2 * time.Second, true},
 		"no attempt left":     {with(func(a *Attempt) { a.AttemptsLeft = 0 }), 0, false},
-		"nothing known of it": {with(func(a *Attempt) { a.Within = 0 }), 0, false},
+		"unknown time":        {with(func(a *Attempt) { a.Within = 0 }), 0, false},
 		"no aim":              {with(func(a *Attempt) { a.Aim = 0 }), 0, false},
 		"no time for another": {with(func(a *Attempt) { a.Left = time.Second }), 600 * time.Millisecond, false},
 	} {
@@ -52,10 +52,10 @@
 	require.Zero(t, times.Within("other"))
 }
 
-// play sends 20 s of lookups to ten servers that lose the answers of a share of them; with waits
-// each is waited out. It returns the shares answered within the aim and never. load is the
-// servers' time asked for by one attempt each.
-func play(load, lost float64, waits bool) (inAim, never float64) {
+// simulate sends 20 s of lookups to ten servers that lose a share of the answers. It returns
+// the shares of requests answered within the aim and never. load is the servers' utilization
+// with one attempt per request; with waits no attempt is given up early.
+func simulate(load, lost float64, waits bool) (inAim, never float64) {
 	const (
 		servers = 10
 		work    = 60 * time.Millisecond
@@ -71,7 +71,7 @@
 		n, try   int
 	}
 	var free [servers]time.Time
-	var tries []try // by time
+	var tries []try // sorted by time
 	gap := time.Duration(float64(work) / (load * servers))
 	for at := start; at.Before(start.Add(20 * time.Second)); at = at.Add(gap) {
 		tries = append(tries, try{at: at, came: at, n: len(tries)})
@@ -91,7 +91,7 @@
 		wait, ok := For(Attempt{Within: times.Within("s"), Aim: aim, Left: limit - t.at.Sub(t.came), AttemptsLeft: 1 - t.try})
 		if !waits && ok && (gone || end.Sub(t.at) > wait) && moves.Again(t.at.Add(wait), 1) {
 			if begin.Before(t.at.Add(wait)) {
-				free[server] = end // its turn came before it was given up
+				free[server] = end // The server had started the request before the caller gave up.
 			}
 			next := try{at: t.at.Add(wait), came: t.came, n: t.n, try: t.try + 1}
 			i, _ := slices.BinarySearchFunc(tries, next, func(a, b try) int { return a.at.Compare(b.at) })
@@ -113,20 +113,20 @@
 	return float64(good) / float64(n), 1 - float64(served)/float64(n)
 }
 
-// Answers that never come are made elsewhere in time, and in an overload no more requests go
-// unserved for it.
-func TestPatienceUnderLoad(t *testing.T) {
+// Guards against callers waiting for lost answers, and against retries that make an overload
+// worse.
+func TestRetriesUnderLoad(t *testing.T) {
 	for _, load := range []float64{0.4, 0.7, 1.2, 2} {
-		inAim, never := play(load, 0, false)
-		inAimWaits, neverWaits := play(load, 0, true)
+		inAim, never := simulate(load, 0, false)
+		inAimWaits, neverWaits := simulate(load, 0, true)
 		t.Logf("load %.1f, nothing lost: in aim %.3f for %.3f, never %.3f for %.3f", load, inAim, inAimWaits, never, neverWaits)
 		require.GreaterOrEqual(t, inAim, inAimWaits-0.02, load)
 		require.LessOrEqual(t, never, neverWaits+0.02, load)
 		if load > 1 {
 			continue
 		}
-		inAim, never = play(load, 0.18, false)
-		inAimWaits, neverWaits = play(load, 0.18, true)
+		inAim, never = simulate(load, 0.18, false)
+		inAimWaits, neverWaits = simulate(load, 0.18, true)
 		t.Logf("load %.1f, 18 in 100 lost: in aim %.3f for %.3f, never %.3f for %.3f", load, inAim, inAimWaits, never, neverWaits)
 		require.Greater(t, inAim, inAimWaits+0.05, load)
 		require.Less(t, never, neverWaits/3, load)
