--- a/policy/watching/outage.go
+++ b/policy/watching/outage.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// FirstPause is the time before a call that failed is made again.
+	// FirstPause is the time after which a failed call is repeated.
 	FirstPause = 100 * time.Millisecond
-	// turnPause is the time between two tries of a VM, of whichever kind, to get word from
-	// others: each is some round trips within the data centres.
-	turnPause = 200 * time.Millisecond
-	// claimFor is how long one kind may ask for all: a short call, which is given up after a
+	// turnInterval is the time between two tries of a VM, over all kinds, to get the state from
+	// other VMs: each try is some round trips within the data centres.
+	turnInterval = 200 * time.Millisecond
+	// claimDuration is how long one kind may call the platform for all kinds. A call is short
+	// and times out after a second.
+	claimDuration = 1200 * time.Millisecond
+	// minCallInterval is the time between two calls of the VM that ranks first to a platform
+	// that does not answer. With the tries at other VMs, 60 VMs notice its return within a
 	// second.
-	claimFor = 1200 * time.Millisecond
-	// firstAsk is the time between two calls of the VM that ranks first to a platform that
-	// doesn't answer. With the tries at others, 60 VMs know of its return within a second.
-	firstAsk = 500 * time.Millisecond
-	// rankShare makes VMs ask the platform less often by rank: the fourth half as often
-	// as the first. 91 VMs ask 37 times a second then, in place of 710.
-	rankShare = 4
-	// lastAsk bounds that pause: a VM that alone is served, or finds no other VM, is back
-	// within it. The first 36 VMs ask more often, 18 times a second together; each hundred
-	// more adds 20.
-	lastAsk = 5 * time.Second
+	minCallInterval = 500 * time.Millisecond
+	// rankDivisor reduces the call rate with the rank: rank 4 calls half as often as rank 0. 91
+	// VMs then make 37 calls per second in place of 710.
+	rankDivisor = 4
+	// maxCallInterval bounds the interval: a VM that alone reaches the platform, or finds no
+	// other VM, recovers within it. The first 36 VMs call more often, 18 times per second
+	// together; each hundred more add 20 calls.
+	maxCallInterval = 5 * time.Second
 )
 
-// Outage paces one VM's calls while it has no word of the platform, over all kinds: one of
-// them tries, the others wait for what comes of it. It is safe for concurrent use.
+// Outage limits one VM's calls, over all kinds, while it has no current state of the platform:
+// one kind tries, and the others wait for the result. It is safe for concurrent use.
 type Outage struct {
-	mu      sync.Mutex
-	lost    bool
-	next    time.Duration // a try before it waits
-	nextAsk time.Duration // the platform isn't asked before it
-	granted bool          // the last turn may ask, and hasn't yet
-	claimed time.Duration // a kind is asking for all until then
+	mu           sync.Mutex
+	lost         bool
+	nextTurn     time.Duration // time of the next try at other VMs
+	nextCall     time.Duration // time of the next call to the platform
+	granted      bool          // the last turn allows a call that was not made yet
+	claimedUntil time.Duration // a kind calls for all until this time
 }
 
-// Lost notes that the VM has no word of the platform.
+// Lost records that the VM has no current state of the platform; rank sets the time of its
+// first call.
 func (o *Outage) Lost(now time.Duration, rank int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -45,13 +47,14 @@
 		return
 	}
 	o.lost = true
-	o.next = now + turnPause
-	o.nextAsk = now + askPause(rank)
+	o.nextTurn = now + turnInterval
+	o.nextCall = now + callInterval(rank)
 }
 
-// Claim asks for the platform before a call of a VM that found no word at others: one kind
-// calls for all until it is known whether the platform answers. No pause follows from it: a VM
-// that is only short of processor time must not be without word for a pause by rank.
+// Claim reports whether a VM that found no state at other VMs may call the platform. One kind
+// calls for all until it is known whether the platform answers. A claim does not start the
+// interval by rank: a VM that is only short of CPU time must not go without state for that
+// long.
 func (o *Outage) Claim(now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,48 +63,48 @@
 		o.granted = false
 		return granted
 	}
-	if now < o.claimed {
+	if now < o.claimedUntil {
 		return false
 	}
-	o.claimed = now + claimFor
+	o.claimedUntil = now + claimDuration
 	return true
 }
 
-// Regained notes word of the platform, from itself or another VM.
+// Regained records that the VM has state again, from the platform or another VM.
 func (o *Outage) Regained() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lost, o.granted, o.claimed = false, false, 0
+	o.lost, o.granted, o.claimedUntil = false, false, 0
 }
 
-// Turn is what one kind may do now.
+// Turn says what one kind may do now.
 type Turn struct {
-	// Wait is how long until the next try is due; 0 when the caller has it.
+	// Wait is the time until the next try is due; 0 if the caller may try now.
 	Wait time.Duration
-	// Ask says that the platform may be asked, not only other VMs.
+	// Ask says that the caller may call the platform, not only other VMs.
 	Ask bool
 }
 
-// Turn asks for a try and takes it if it is due; rank is asked for only in an outage.
+// Turn returns the turn of a caller and takes it if it is due. It calls rank only in an outage.
 func (o *Outage) Turn(now time.Duration, rank func() int) Turn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.lost {
 		return Turn{Ask: true}
 	}
-	if now < o.next {
-		return Turn{Wait: o.next - now}
+	if now < o.nextTurn {
+		return Turn{Wait: o.nextTurn - now}
 	}
-	o.next = now + turnPause
-	t := Turn{Ask: now >= o.nextAsk}
+	o.nextTurn = now + turnInterval
+	t := Turn{Ask: now >= o.nextCall}
 	if t.Ask {
 		o.granted = true
-		o.nextAsk = now + askPause(rank())
+		o.nextCall = now + callInterval(rank())
 	}
 	return t
 }
 
-// askPause is the time between two calls of a VM to a platform that doesn't answer.
-func askPause(rank int) time.Duration {
-	return min(firstAsk+firstAsk*time.Duration(rank)/rankShare, lastAsk)
+// callInterval returns the time between two calls of a VM to a platform that does not answer.
+func callInterval(rank int) time.Duration {
+	return min(minCallInterval+minCallInterval*time.Duration(rank)/rankDivisor, maxCallInterval)
 }
--- a/policy/watching/peers.go
+++ b/policy/watching/peers.go
@@ -8,60 +8,63 @@
 )
 
 const (
-	// direct is how many VMs watch the platform: a second one for when one dies.
-	direct = 2
-	// standIns are the ranks after them that ask the platform at once when neither
-	// watcher has word, so that the others find a source within some ms.
+	// watchers is the number of VMs that watch the platform; the second one covers a failure of
+	// the first.
+	watchers = 2
+	// standIns is the number of VMs ranked after the watchers that call the platform at once if
+	// neither watcher has current state, so that the others find a source within milliseconds.
 	standIns = 2
-	// takeOver is how long a VM must rank first before it watches: among 91 VMs some of
-	// those that rank before it aren't heard for a moment. One whose feed ends is
-	// replaced at once.
-	takeOver = 2 * time.Second
-	// firstShun is how long a VM whose feed failed isn't read; it doubles with each
-	// failure in a row. A reset connection is replaced by the next try, a VM that is cut
-	// off costs a timeout each time.
-	firstShun = 250 * time.Millisecond
-	lastShun  = 4 * time.Second
-	// staleShun is the same for a VM that answers without word of the platform: asking
-	// it costs a round trip, and it may be the first that has word again.
-	staleShun = 200 * time.Millisecond
-	// grace is how much older than its limit a VM's word gets before the VM asks the
-	// platform itself: a stand-in's call of 4 ms, or 280 ms while the platform is slow, and
-	// a try at its feed. The limit is three quarters of the bound on a change, of two
-	// seconds and more.
-	grace = 200 * time.Millisecond
+	// takeOverDelay is how long a VM must rank among the first before it watches: among 91 VMs
+	// some of those ranked before it seem absent for a moment. A VM whose source fails starts
+	// to watch at once.
+	takeOverDelay = 2 * time.Second
+	// minBackoff is how long a VM is not read after its feed failed; the time doubles with each
+	// failure in a row. After a reset connection the next try succeeds, while each try at a VM
+	// that is cut off costs a timeout.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// staleBackoff is the same for a VM that answers without current state: a try costs only a
+	// round trip, and it may be the first VM that has state again.
+	staleBackoff = 200 * time.Millisecond
+	// staleGrace is how far a VM's state exceeds its age limit before the VM calls the platform
+	// itself. It covers a stand-in's call, of 4 ms or of 280 ms while the platform is slow, and
+	// a try at the stand-in's feed. The limit is three quarters of the bound on propagating a
+	// change, which is two seconds or more.
+	staleGrace = 200 * time.Millisecond
 )
 
-// Peers are the VMs that one VM reads from. It is safe for concurrent use.
+// Peers selects the VMs that one VM reads from. It is safe for concurrent use.
 type Peers struct {
-	mu     sync.Mutex
-	failed map[string]failure
-	last   string        // the VM to read from by rank
-	lastAt time.Duration // when it was that
+	mu         sync.Mutex
+	failed     map[string]failure
+	lastParent string        // parent in the tree at the last call with a rank after the watchers
+	lastAt     time.Duration // time of that call
 }
 
+// failure counts the failures of one VM's feed in a row and says until when it is not read.
 type failure struct {
-	row   int
+	count int
 	until time.Duration
 }
 
-// NewPeers returns peers of which none has failed.
+// NewPeers returns a selector without failures.
 func NewPeers() *Peers { return &Peers{failed: make(map[string]failure)} }
 
-// Sources names the VMs to read from, best first. None for a VM that watches the platform.
+// Sources returns the addresses of the VMs to read from, best first; none for a VM that watches
+// the platform.
 func (p *Peers) Sources(now time.Duration, place Place) []string {
 	ranked, rank := place.Ranked, place.Rank
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if rank < direct {
-		if p.last != "" && now-p.lastAt < takeOver && now >= p.failed[p.last].until {
-			return []string{p.last}
+	if rank < watchers {
+		if p.lastParent != "" && now-p.lastAt < takeOverDelay && now >= p.failed[p.lastParent].until {
+			return []string{p.lastParent}
 		}
 		return nil
 	}
-	p.last, p.lastAt = ranked[place.parent(rank)], now
+	p.lastParent, p.lastAt = ranked[place.parent(rank)], now
 	var peers, out []string
-	for _, i := range candidates(place.parent(rank), rank) {
+	for _, i := range sourceRanks(place.parent(rank), rank) {
 		peers = append(peers, ranked[i])
 	}
 	peers = append(peers, place.Last...)
@@ -70,55 +73,56 @@
 			out = append(out, peer)
 		}
 	}
-	if len(out) == 0 && (rank >= direct+standIns || len(place.Last) > 0) {
-		// None would have this VM watch the platform, as those do that stand in.
+	if len(out) == 0 && (rank >= watchers+standIns || len(place.Last) > 0) {
+		// With no source this VM would watch the platform, which only watchers and stand-ins
+		// do.
 		out = []string{slices.MinFunc(peers, func(a, b string) int { return cmp.Compare(p.failed[a].until, p.failed[b].until) })}
 	}
 	return out
 }
 
-// candidates are the ranks to read from: the parent in the tree, the watchers, and those
-// that stand in for them; half of the readers begin with either of each two.
-func candidates(parent, rank int) []int {
-	out := []int{parent, rank % direct, (rank + 1) % direct}
+// sourceRanks returns the ranks to read from: the parent in the tree, the watchers and the
+// stand-ins. Half of the readers start with either one of each pair.
+func sourceRanks(parent, rank int) []int {
+	out := []int{parent, rank % watchers, (rank + 1) % watchers}
 	for i := range standIns {
-		if r := direct + (rank+i)%standIns; r < rank {
+		if r := watchers + (rank+i)%standIns; r < rank {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Read notes that a VM's feed was read.
+// Read records that a VM's feed was read.
 func (p *Peers) Read(peer string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.failed, peer)
 }
 
-// Failed notes that a VM's feed could not be read; stale says that it answered that it
-// has no word of the platform. It returns whether this is the first failure in a row.
+// Failed records that a VM's feed could not be read; stale says that the VM answered without
+// current state. It reports whether this is the first failure in a row.
 func (p *Peers) Failed(now time.Duration, peer string, stale bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.failed[peer]
 	if stale {
-		f.until = now + staleShun
+		f.until = now + staleBackoff
 	} else {
-		f.until = now + min(firstShun<<min(f.row, 8), lastShun)
+		f.until = now + min(minBackoff<<min(f.count, 8), maxBackoff)
 	}
-	f.row++
+	f.count++
 	p.failed[peer] = f
 	for other, o := range p.failed {
-		if now >= o.until+lastShun {
+		if now >= o.until+maxBackoff {
 			delete(p.failed, other)
 		}
 	}
-	return f.row == 1
+	return f.count == 1
 }
 
-// MayAsk says whether a VM that found no word at others asks the platform; left is how
-// long its own word still holds, negative when it is too old.
+// MayAsk reports whether a VM that found no state at other VMs may call the platform. left is
+// how long its own state remains valid, negative if it is too old.
 func MayAsk(rank int, left time.Duration) bool {
-	return rank < direct+standIns || left <= -grace
+	return rank < watchers+standIns || left <= -staleGrace
 }
--- a/policy/watching/tree.go
+++ b/policy/watching/tree.go
@@ -6,63 +6,64 @@
 	DataCentre string
 }
 
-// headsEach is how many VMs of a data centre read from other ones: bytes between data centres
-// are billed, and the others read from these. A second one for when one dies.
-const headsEach = 2
+// headsPerDataCentre is how many VMs of a data centre read from VMs of other ones. Traffic
+// between data centres is billed, so that the others read from these heads; the second one
+// covers a failure of the first.
+const headsPerDataCentre = 2
 
-// Tree is VMs that read from those before them.
+// Tree is an ordered list of VMs in which each reads from an earlier one.
 type Tree struct {
-	// Ranked are the VMs, best first; the first two are its roots.
+	// Ranked holds the VMs' addresses, best first; the first two are the roots.
 	Ranked []string
-	// RootReaders is how many read from a root, and Readers how many from each of the others.
+	// RootReaders is the number of readers of each root, Readers that of each other VM.
 	RootReaders, Readers int
 }
 
-// parent is the place of the VM that the one at a place reads from first.
+// parent returns the place of the VM that the one at the given place reads from first.
 func (t Tree) parent(place int) int {
-	n := place - direct
-	if n < direct*t.RootReaders {
+	n := place - watchers
+	if n < watchers*t.RootReaders {
 		return n / t.RootReaders
 	}
-	return direct + (n-direct*t.RootReaders)/t.Readers
+	return watchers + (n-watchers*t.RootReaders)/t.Readers
 }
 
-// A VM has at most eight readers: a large configuration is some 10 KB packed, and eight
-// readers get it over a link of 10 Mbit/s in 60 ms. Those that head a data centre stand in
-// two trees.
+// A VM has at most eight readers: a large configuration is about 10 KB compressed,
+// and eight readers get it over a link of 10 Mbit/s in 60 ms. Heads of a data centre have
+// readers in two trees.
 const (
-	watcherReaders = 8
-	headReaders    = 2
-	nearHead       = 6
-	nearReaders    = 8
+	watcherReaders   = 8
+	headReaders      = 2
+	localHeadReaders = 6
+	localReaders     = 8
 )
 
-// Place is where one VM stands.
+// Place is the position of one VM in its tree.
 type Place struct {
 	Tree
-	// Rank is its place in the tree.
+	// Rank is the VM's index in Ranked.
 	Rank int
-	// Last are those to read from when none of the tree has word.
+	// Last lists the VMs to read from if no VM of the tree has current state.
 	Last []string
 }
 
-// PlaceOf finds a VM's place. Those that watch the platform and the next two of each data
-// centre, its heads, stand in one tree over all data centres; the others in one of their own
-// data centre, whose roots are the heads. Both have the order of the ranking, so that no two
-// VMs read from each other.
+// PlaceOf returns a VM's place. The watchers and the next two VMs of each data centre, its
+// heads, form one tree over all data centres. Each data centre has a tree of its own for the
+// others, with the heads as roots. Both trees keep the order of the ranking, so that no two VMs
+// read from each other.
 func PlaceOf(ranked []VM, self int) Place {
 	seen := make(map[string]int)
 	top := Tree{RootReaders: watcherReaders, Readers: headReaders}
-	near := Tree{RootReaders: nearHead, Readers: nearReaders}
+	local := Tree{RootReaders: localHeadReaders, Readers: localReaders}
 	inTop, rank := false, 0
 	for i, vm := range ranked {
-		own := i >= direct && vm.DataCentre == ranked[self].DataCentre
-		head := i < direct || seen[vm.DataCentre] < headsEach
-		if i >= direct {
+		own := i >= watchers && vm.DataCentre == ranked[self].DataCentre
+		head := i < watchers || seen[vm.DataCentre] < headsPerDataCentre
+		if i >= watchers {
 			seen[vm.DataCentre]++
 		}
 		if i == self {
-			inTop, rank = head, len(near.Ranked)
+			inTop, rank = head, len(local.Ranked)
 			if head {
 				rank = len(top.Ranked)
 			}
@@ -71,11 +72,11 @@
 			top.Ranked = append(top.Ranked, vm.Address)
 		}
 		if own {
-			near.Ranked = append(near.Ranked, vm.Address)
+			local.Ranked = append(local.Ranked, vm.Address)
 		}
 	}
 	if inTop {
 		return Place{Tree: top, Rank: rank}
 	}
-	return Place{Tree: near, Rank: rank, Last: top.Ranked[:direct]}
+	return Place{Tree: local, Rank: rank, Last: top.Ranked[:watchers]}
 }
--- a/policy/watching/watching_test.go
+++ b/policy/watching/watching_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// at is a VM's place in a fleet of one data centre that is ranked as given.
+// at returns the place of a VM in a fleet of one data centre with the given ranking.
 func at(ranked []string, rank int) Place {
-	return Place{Tree: Tree{Ranked: ranked, RootReaders: nearReaders, Readers: nearReaders}, Rank: rank}
+	return Place{Tree: Tree{Ranked: ranked, RootReaders: localReaders, Readers: localReaders}, Rank: rank}
 }
 
 func fleet(n int) []string {
@@ -22,9 +22,10 @@
 	return out
 }
 
-// Nobody reads from a VM that ranks after it, so that no two read from each other, and no
-// VM is the first choice of more than eight. Two VMs of each data centre read from another one.
-func TestReadersReadFromThoseBeforeThem(t *testing.T) {
+// Guards against cycles and overloaded sources: a VM reads only from VMs that rank before it,
+// no VM is the first source of more than eight, and only two VMs of each data centre read from
+// another data centre.
+func TestSourcesRankBeforeReaders(t *testing.T) {
 	var ranked []VM
 	for i, name := range fleet(400) {
 		ranked = append(ranked, VM{Address: name, DataCentre: fmt.Sprint("dc", i*i%19)})
@@ -35,7 +36,7 @@
 		place := PlaceOf(ranked, rank)
 		require.Equal(t, vm.Address, place.Ranked[place.Rank])
 		sources := NewPeers().Sources(time.Minute, place)
-		if rank < direct {
+		if rank < watchers {
 			require.Empty(t, sources)
 			continue
 		}
@@ -49,32 +50,31 @@
 		}
 		first[sources[0]]++
 	}
-	require.LessOrEqual(t, far, headsEach*19, "readers over the border of a data centre")
+	require.LessOrEqual(t, far, headsPerDataCentre*19, "readers over the border of a data centre")
 	for vm, n := range first {
 		require.LessOrEqual(t, n, 8, vm)
 	}
 }
 
-// Those that rank first aren't heard for a moment, as some of 91 always are. The VM that
-// now seems to be first must go on reading its feed: a switch gave its own readers no
-// word for as long as a watch waits, and they and theirs all asked the platform, 25 at a
-// time. When the feed ends it asks the platform at once, and after takeOver in any case.
-func TestMomentarySilenceMakesNoWatcher(t *testing.T) {
+// Guards against calls in bursts: the VMs ranked first seem absent for a moment, as some of 91
+// always do. If the next VM switches to watching, its readers get no state for as long as a
+// watch waits, and they and their readers call the platform, 25 at a time.
+func TestBriefRankChangeKeepsSource(t *testing.T) {
 	ranked := fleet(91)
 	now := time.Minute
 	p := NewPeers()
 	before := p.Sources(now, at(ranked, 2))
 	require.NotEmpty(t, before)
 	now += time.Second
-	require.Equal(t, before[:1], p.Sources(now, at(ranked[2:], 0)), "two before it aren't heard")
-	require.Empty(t, p.Sources(now+takeOver, at(ranked[2:], 0)), "it took over")
+	require.Equal(t, before[:1], p.Sources(now, at(ranked[2:], 0)), "the two VMs ranked before it seem absent")
+	require.Empty(t, p.Sources(now+takeOverDelay, at(ranked[2:], 0)), "it watches after the delay")
 	p.Failed(now, before[0], false)
-	require.Empty(t, p.Sources(now, at(ranked[2:], 0)), "the feed ended")
+	require.Empty(t, p.Sources(now, at(ranked[2:], 0)), "the feed failed")
 }
 
-// All VMs to read from had no word a moment ago: one is asked again, since a VM that has none
-// to ask watches the platform, as two of the fleet do.
-func TestVMsWithoutWordMakeNoWatcher(t *testing.T) {
+// If all sources answered without state, one of them is tried again: a VM without a source
+// watches the platform, which only the watchers and stand-ins may do.
+func TestStaleSourcesMakeNoWatcher(t *testing.T) {
 	var ranked []VM
 	for i, name := range fleet(195) {
 		ranked = append(ranked, VM{Address: name, DataCentre: fmt.Sprint("dc", i%6)})
@@ -89,12 +89,12 @@
 			watch++
 		}
 	}
-	require.Equal(t, direct+standIns, watch)
+	require.Equal(t, watchers+standIns, watch)
 }
 
-// A VM's feed breaks off by a reset connection and is there again: it is read again after
-// a moment. One that is cut off is tried less and less often, since each try costs a
-// timeout. One that says that it has no word may have it again any time.
+// A feed that broke by a reset connection is read again after a moment. A VM that is cut off is
+// tried at growing intervals, since each try costs a timeout. One that answers without state
+// may have it again at any time.
 func TestFailedFeedIsTriedAgain(t *testing.T) {
 	ranked := fleet(20)
 	now := time.Minute
@@ -102,25 +102,25 @@
 	best := p.Sources(now, at(ranked, 12))[0]
 	tried := func(after time.Duration) bool { return p.Sources(now+after, at(ranked, 12))[0] == best }
 
-	require.True(t, p.Failed(now, best, false), "news")
-	require.False(t, tried(firstShun-1))
-	require.True(t, tried(firstShun))
+	require.True(t, p.Failed(now, best, false), "first failure")
+	require.False(t, tried(minBackoff-1))
+	require.True(t, tried(minBackoff))
 	for range 10 {
-		require.False(t, p.Failed(now, best, false), "no news")
+		require.False(t, p.Failed(now, best, false), "repeated failure")
 	}
-	require.False(t, tried(lastShun-1))
-	require.True(t, tried(lastShun))
+	require.False(t, tried(maxBackoff-1))
+	require.True(t, tried(maxBackoff))
 	p.Read(best)
 	require.True(t, tried(0))
 	for range 10 {
 		p.Failed(now, best, true)
 	}
-	require.True(t, tried(staleShun))
+	require.True(t, tried(staleBackoff))
 }
 
-// The platform is away for ten seconds. Four kinds of 91 VMs each ask as soon as they may:
-// no more than some dozens ask it in a second, each VM tries other VMs five times a second, and
-// none is without a try at the platform for longer than lastAsk and a turn.
+// Guards against a burst of calls in an outage of ten seconds, with four kinds on each of 91
+// VMs. A few dozen calls reach the platform per second, each VM makes five tries per second,
+// and no VM goes longer than maxCallInterval plus a turn without a call.
 func TestOutagePacesCalls(t *testing.T) {
 	const vms, kinds, length = 91, 4, 10 * time.Second
 	asked, turns := 0, 0
@@ -138,10 +138,10 @@
 				turns++
 				if turn.Ask {
 					asked++
-					require.LessOrEqual(t, now-last, lastAsk+turnPause)
+					require.LessOrEqual(t, now-last, maxCallInterval+turnInterval)
 					last = now
 				}
-				o.Lost(now, rank) // what failed changes nothing
+				o.Lost(now, rank) // Further failures change nothing.
 			}
 		}
 	}
@@ -149,23 +149,23 @@
 	require.LessOrEqual(t, turns, 5*vms*int(length/time.Second))
 }
 
-// A VM of high rank whose first call came to nothing by itself must ask again soon: only a
-// failure of the platform brings the pause by rank.
-func TestClaimBringsNoPause(t *testing.T) {
+// Guards against a high-ranked VM going without state: a first call that fails for a local
+// reason must not start the interval by rank; only a failure of the platform does.
+func TestClaimAddsNoDelay(t *testing.T) {
 	var o Outage
 	now := time.Minute
 	require.True(t, o.Claim(now))
-	require.False(t, o.Claim(now+time.Second), "another kind")
+	require.False(t, o.Claim(now+time.Second), "a call by another kind")
 	require.True(t, o.Turn(now, func() int { return 200 }).Ask)
-	require.True(t, o.Claim(now+claimFor))
+	require.True(t, o.Claim(now+claimDuration))
 	o.Regained()
-	require.True(t, o.Claim(now+claimFor))
-	o.Lost(now+claimFor, 200)
-	require.False(t, o.Claim(now+2*claimFor), "by turns from now on")
+	require.True(t, o.Claim(now+claimDuration))
+	o.Lost(now+claimDuration, 200)
+	require.False(t, o.Claim(now+2*claimDuration), "calls depend on Turn now")
 }
 
-// One kind's try brings word: the others, which waited for it, go on at once.
-func TestWordEndsTheOutage(t *testing.T) {
+// When one kind gets state, the kinds that waited for it continue at once.
+func TestRegainedEndsOutage(t *testing.T) {
 	var o Outage
 	rank := func() int { return 50 }
 	o.Lost(time.Minute, 50)
@@ -176,12 +176,12 @@
 	}
 }
 
-// The watchers have no word. The next two of the ranking ask at once; the others give
-// these a moment, and ask in any case before a change would be in force too late.
-func TestWhoAsks(t *testing.T) {
+// If the watchers have no state, the next two VMs call the platform at once. The others wait a
+// moment for these, but call in time for a change to take effect within its bound.
+func TestMayAsk(t *testing.T) {
 	require.True(t, MayAsk(0, time.Second))
-	require.True(t, MayAsk(direct+standIns-1, time.Second))
-	require.False(t, MayAsk(direct+standIns, time.Second))
+	require.True(t, MayAsk(watchers+standIns-1, time.Second))
+	require.False(t, MayAsk(watchers+standIns, time.Second))
 	require.False(t, MayAsk(90, 0))
-	require.True(t, MayAsk(90, -grace))
+	require.True(t, MayAsk(90, -staleGrace))
 }
