--- a/policy/sizing/load_test.go
+++ b/policy/sizing/load_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rule decides whether a weak answer is made again.
-type rule func(s Situation) bool
+// escalationRule decides whether a weak answer is escalated to the largest model.
+type escalationRule func(s Situation) bool
 
-var rules = map[string]rule{
+var rules = map[string]escalationRule{
 	"always": func(s Situation) bool { return s.Confidence < Threshold },
 	"by slots": func(s Situation) bool {
 		use := float64(s.Under) / float64(s.Slots)
@@ -31,29 +31,28 @@
 }
 
 const (
-	playEngines = 10
-	playAim     = 2 * time.Second
-	playUnit    = 6 * time.Millisecond // for a thousand tokens by the smallest model
-	// playSlowdown is how much longer an answer takes for each request that runs beside it: a
-	// step takes 2.89 ms and 0.101 ms for each.
-	playSlowdown = 0.035
-	// What an answer is worth that is poor, or right but late.
-	playPoor, playLate = 0.05, 0.1
+	simEngines  = 10
+	simAim      = 2 * time.Second
+	simUnitTime = 6 * time.Millisecond // reading time of a thousand tokens by the smallest model
+	// simSlowdown is the relative increase of an answer's time for each concurrent request: a
+	// step takes 2.89 ms plus 0.101 ms for each.
+	simSlowdown = 0.035
+	// Worth of an answer that is poor, or correct but late.
+	poorWorth, lateWorth = 0.05, 0.1
 )
 
-// play sends 20 s of prompts of unlike size to engines that read one after the other, by
-// the smallest model and, as the rule says, by the largest, and returns the mean worth of
-// the answers. An answer takes longer to be made the more of the slots are in use, and with
-// crash those that aren't whole at the end are lost. load is the engines' time asked for
-// if all weak answers were made again, as a share of what there is. A request waits for one
-// of an engine's slots.
-func play(load float64, crash bool, slots int, made rule) float64 {
+// simulate sends 20 s of prompts of widely differing sizes to engines that read one prompt
+// after another, by the smallest model and, if the rule escalates, by the largest. It returns
+// the mean worth of the answers. Answers take longer the more slots are in use, and a request
+// waits for a slot. load is the utilization of the engines if all weak answers were escalated.
+// With crash, answers that are incomplete at the end are lost.
+func simulate(load float64, crash bool, slots int, escalates escalationRule) float64 {
 	r := rand.New(rand.NewPCG(11, 3))
 	const meanTokens = 5.0
-	each := meanTokens * (1 + 0.44*largestWork) * playUnit.Seconds()
-	gap := each / (load * playEngines)
-	var free [playEngines]float64
-	ends := make([]float64, playEngines*slots) // of the last request in each slot
+	each := meanTokens * (1 + 0.44*largestWork) * simUnitTime.Seconds()
+	gap := each / (load * simEngines)
+	var free [simEngines]float64
+	ends := make([]float64, simEngines*slots) // end of the last request in each slot
 	worth, n := 0.0, 0
 	read := func(now, work float64) float64 {
 		best := 0
@@ -62,7 +61,7 @@
 				best = i
 			}
 		}
-		free[best] = max(free[best], now) + work*playUnit.Seconds()
+		free[best] = max(free[best], now) + work*simUnitTime.Seconds()
 		return free[best]
 	}
 	for now := 0.0; now < 20; now += gap {
@@ -88,22 +87,22 @@
 		}
 		s := Situation{
 			Models: make([]string, 3), Known: true, AttemptsLeft: 2, Left: time.Minute, Whole: time.Minute,
-			Confidence: int(min(max(50+160*(0.56-hard)+10*r.NormFloat64(), 0), 100)), Aim: playAim,
-			Spent: seconds(first - now), Wait: seconds(max(least-first, 0)), Read: seconds(largestWork * tokens * playUnit.Seconds()),
-			Under: running / playEngines, Slots: slots,
+			Confidence: int(min(max(50+160*(0.56-hard)+10*r.NormFloat64(), 0), 100)), Aim: simAim,
+			Spent: seconds(first - now), Wait: seconds(max(least-first, 0)), Read: seconds(largestWork * tokens * simUnitTime.Seconds()),
+			Under: running / simEngines, Slots: slots,
 		}
 		right, runs := hard < 0.56, 0.6
-		if made(s) {
+		if escalates(s) {
 			first, right, runs = read(first, largestWork*tokens), true, 4
 		}
-		end := first + runs*(1+playSlowdown*float64(min(running/playEngines, slots)))
+		end := first + runs*(1+simSlowdown*float64(min(running/simEngines, slots)))
 		ends[slot] = end
 		switch {
 		case crash && end > 20:
 		case !right:
-			worth += playPoor
-		case first-now > playAim.Seconds():
-			worth += playLate
+			worth += poorWorth
+		case first-now > simAim.Seconds():
+			worth += lateWorth
 		default:
 			worth++
 		}
@@ -113,18 +112,17 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Engines with room, busy ones, and ones with up to four times the work that they can do;
-// with a crash of all VMs at the end and without. Making all weak answers again makes
-// nearly all late under overload; judging by slots alone leaves answers weak that would
-// have been in time, and doesn't see a queue of large prompts. The wait alone fits best as
-// long as nothing crashes; with the slots beside it more answers are whole when it does,
-// and callers get no less than by slots alone in any of these cases.
+// Guards against escalation that delays other requests, from idle to fourfold overload, with
+// and without a crash. Escalating always makes nearly all answers late under overload; slots
+// alone miss queues of large prompts and keep weak answers that had time. The wait alone is
+// best without a crash; with the slots more answers are complete in one, and none of these
+// cases is worse than by slots alone.
 func TestWorthUnderLoad(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		for _, load := range []float64{0.4, 0.8, 1.5, 2, 4} {
 			got := make(map[string]float64)
 			for name, r := range rules {
-				got[name] = play(load, crash, 64, r)
+				got[name] = simulate(load, crash, 64, r)
 			}
 			what := fmt.Sprintf("crash %v, load %.1f: %v", crash, load, got)
 			t.Log(what)
@@ -141,13 +139,13 @@
 	}
 }
 
-// Engines with few slots are quick with all of them in use: by the share of the slots alone
-// most weak answers were kept where the larger model's would have been in time.
+// Engines with few slots are fast even with all in use: by the share of slots alone most weak
+// answers are kept although the larger model's would be in time.
 func TestWorthWithFewSlots(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		for _, load := range []float64{0.4, 0.8, 1.5, 4} {
-			share, both := play(load, crash, 16, rules["by slots"]), play(load, crash, 16, rules["by both"])
-			what := fmt.Sprintf("crash %v, load %.1f: by slots %.3f, by both %.3f, always %.3f", crash, load, share, both, play(load, crash, 16, rules["always"]))
+			share, both := simulate(load, crash, 16, rules["by slots"]), simulate(load, crash, 16, rules["by both"])
+			what := fmt.Sprintf("crash %v, load %.1f: by slots %.3f, by both %.3f, always %.3f", crash, load, share, both, simulate(load, crash, 16, rules["always"]))
 			t.Log(what)
 			require.Greater(t, both, share-0.01, what)
 			if load < 1 {
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -20,23 +20,23 @@
 		next int
 		up   bool
 	}{
-		"weak":              {base, 2, true},
-		"strong":            {with(func(s *Situation) { s.Confidence = 80 }), 2, false},
-		"no opinion":        {with(func(s *Situation) { s.Known = false }), 0, false},
-		"largest":           {with(func(s *Situation) { s.At = 2 }), 2, false},
-		"no attempts":       {with(func(s *Situation) { s.AttemptsLeft = 0 }), 0, false},
-		"no time":           {with(func(s *Situation) { s.Left = 400 * time.Millisecond }), 0, false},
-		"long wait":         {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 500*time.Millisecond, 5 }), 2, false},
-		"some wait, weak":   {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 10 }), 2, true},
-		"some wait, better": {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 45 }), 2, false},
-		"full":              {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 64, 64, 5 }), 2, false},
-		"half full":         {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 26, 64, 10 }), 2, true},
-		"few slots in use":  {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 8, 16, 54 }), 2, true},
-		"few slots, queue":  {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 20, 16, 5 }), 2, false},
-		"no aim":            {with(func(s *Situation) { s.Wait = time.Hour }), 2, true},
-		"late by its size":  {with(func(s *Situation) { s.Aim, s.Read = 2*time.Second, 1700*time.Millisecond }), 2, false},
-		"late by now":       {with(func(s *Situation) { s.Aim, s.Spent, s.Read = 2*time.Second, time.Second, time.Second }), 2, false},
-		"large but in time": {with(func(s *Situation) { s.Aim, s.Read, s.Confidence = 2*time.Second, 1500*time.Millisecond, 54 }), 2, true},
+		"weak":                {base, 2, true},
+		"strong":              {with(func(s *Situation) { s.Confidence = 80 }), 2, false},
+		"no confidence":       {with(func(s *Situation) { s.Known = false }), 0, false},
+		"largest":             {with(func(s *Situation) { s.At = 2 }), 2, false},
+		"no attempts":         {with(func(s *Situation) { s.AttemptsLeft = 0 }), 0, false},
+		"no time":             {with(func(s *Situation) { s.Left = 400 * time.Millisecond }), 0, false},
+		"long wait":           {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 500*time.Millisecond, 5 }), 2, false},
+		"some wait, weak":     {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 10 }), 2, true},
+		"some wait, better":   {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 45 }), 2, false},
+		"full":                {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 64, 64, 5 }), 2, false},
+		"half full":           {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 26, 64, 10 }), 2, true},
+		"few slots in use":    {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 8, 16, 54 }), 2, true},
+		"few slots, queue":    {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 20, 16, 5 }), 2, false},
+		"no aim":              {with(func(s *Situation) { s.Wait = time.Hour }), 2, true},
+		"late by prompt size": {with(func(s *Situation) { s.Aim, s.Read = 2*time.Second, 1700*time.Millisecond }), 2, false},
+		"late by time spent":  {with(func(s *Situation) { s.Aim, s.Spent, s.Read = 2*time.Second, time.Second, time.Second }), 2, false},
+		"large but in time":   {with(func(s *Situation) { s.Aim, s.Read, s.Confidence = 2*time.Second, 1500*time.Millisecond, 54 }), 2, true},
 	} {
 		next, up := Next(c.s)
 		require.Equal(t, c.up, up, name)
@@ -46,9 +46,9 @@
 	}
 }
 
-// A mix in which 56 of 100 requests are easy is played with three ways to choose. The
-// cascade must keep nearly the largest model's worth at well under its cost; the
-// model's opinion is right about its answer, with an error of 20 points.
+// Guards against a cascade that costs too much or loses quality, for a mix with 56% easy
+// requests. It must keep nearly the largest model's worth at well below its cost. The model's
+// confidence reflects the true quality with an error of 20 points.
 func TestCascadeOnAMix(t *testing.T) {
 	quality, cost := []float64{0.56, 0.65, 1}, []float64{0.018, 0.13, 0.27}
 	r := rand.New(rand.NewPCG(7, 7))
@@ -66,9 +66,9 @@
 			worth[i] += answer(hard, model)
 			paid[i] += cost[model]
 		}
-		opinion := int(50 + 100*(quality[0]-hard) + 20*r.NormFloat64())
+		confidence := int(50 + 100*(quality[0]-hard) + 20*r.NormFloat64())
 		model, pay := 0, cost[0]
-		s := Situation{Models: make([]string, 3), Known: true, Confidence: opinion, AttemptsLeft: 2, Left: time.Second, Whole: time.Second}
+		s := Situation{Models: make([]string, 3), Known: true, Confidence: confidence, AttemptsLeft: 2, Left: time.Second, Whole: time.Second}
 		if next, up := Next(s); up {
 			model, pay = next, pay+cost[next]
 		}
