--- a/policy/trial/trial.go
+++ b/policy/trial/trial.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// shareTimes is the part of the sessions that try the new version, in terms of the
-	// exposure that operators allow over the roll-out's whole time. A trial lasts
-	// decideAt of it at most, so that 0.78 of the allowance is used. At 33 requests a
-	// second and an allowance of 0.15, six of them a second try it, and a version that
-	// fails a third is found after about two seconds.
-	shareTimes = 1.2
-	// settle is added to a session's longest pause before the trial starts: VMs learn of
-	// the order at different moments.
-	settle = time.Second
-	// decideAt is the part of the roll-out's time at which a version without signs
-	// against it is taken: past the half in which sessions must stay on the old one, and
-	// with time left to record it while the platform is slow.
-	decideAt = 0.65
-	// movedAt is the part at which a roll-out is completed though sessions are still moving;
-	// a fifth of its time is left for an order that was known late, or a slow platform.
-	movedAt = 0.8
-	// giveUpAt is the part at which a version that is not proved good is taken back.
-	giveUpAt = 0.85
-	// leastAnswers of the new version are needed to take it: of a version that fails a
-	// third, fifteen good answers in a row come once in 400 trials.
-	leastAnswers = 15
-	// mostBad bounds the bad answers of the new version, whatever else fails meanwhile:
-	// operators bound them to fifty, and VMs hear of each other's with a delay.
-	mostBad = 30
-	// tolerated is how much higher the new version's rate of bad answers may be than the
-	// old one's for it to be taken; versions that are bad fail or slow a third or more.
-	// Evidence alone doesn't do: while a trouble fails 15 in 100 of all, a version with
-	// 40 in 100 gives none from 40 answers.
-	tolerated = 0.05
+	// exposureFactor is the share of sessions that try the new version, as a multiple of the
+	// exposure that operators allow over the whole roll-out. A trial lasts at most decideShare
+	// of the roll-out, so that 0.78 of the allowance is used. At 33 requests per second and an
+	// allowance of 0.15, six requests per second try it, and a version that fails a third of
+	// them is found after about two seconds.
+	exposureFactor = 1.2
+	// startDelay is added to a session's longest pause before the trial starts, since VMs learn
+	// of the order at different times.
+	startDelay = time.Second
+	// decideShare is the part of the roll-out's time after which a version without evidence
+	// against it is taken: after the half in which sessions must stay on the old one, and with
+	// time left to record the decision while the platform is slow.
+	decideShare = 0.65
+	// completeShare is the part after which a roll-out is completed even if sessions are still
+	// moving. A fifth of the time remains for an order that arrived late or a slow platform.
+	completeShare = 0.8
+	// giveUpShare is the part after which a version that is not proved good is taken back.
+	giveUpShare = 0.85
+	// minAnswers is the number of answers of the new version needed to take it: a version that
+	// fails a third gives fifteen good answers in a row once in 400 trials.
+	minAnswers = 15
+	// maxBadAnswers limits the bad answers of the new version, whatever else fails. Operators
+	// limit them to fifty, and VMs learn of each other's counts with a delay.
+	maxBadAnswers = 30
+	// toleratedRateDifference is how far the new version's rate of bad answers may exceed the
+	// old one's; bad versions fail or slow a third or more. Evidence alone is not enough: while
+	// a general fault fails 15% of all requests, 40 answers of a version that fails 40% give
+	// none.
+	toleratedRateDifference = 0.05
 )
 
-// clearlyWorse is the log evidence at which the new version is taken back at once: one
+// takeBackEvidence is the log evidence at which the new version is taken back at once: one
 // false alarm in 50 trials.
-var clearlyWorse = math.Log(50)
+var takeBackEvidence = math.Log(50)
 
-// Decision is what becomes of the new version.
+// Decision says what happens to the new version.
 type Decision int
 
-// The decisions.
+// Values of Decision.
 const (
-	// Undecided: go on.
+	// Undecided continues the trial.
 	Undecided Decision = iota
-	// Take the new version for all requests.
+	// Take uses the new version for all requests.
 	Take
-	// TakeBack keeps it from all requests.
+	// TakeBack uses the new version for no request.
 	TakeBack
 )
 
-// Counts are one VM life's tallies.
+// Counts holds the tallies of one incarnation of a VM.
 type Counts struct {
+	// From counts the answers of the old version.
 	From rollout.Tally `cbor:"1,keyasint"`
-	To   rollout.Tally `cbor:"2,keyasint"`
-	// Worse says that the VM found the new version worse; all then take it back. Sums
-	// differ for moments, and a VM that alone kept sessions from the new version would
-	// move those that are there.
+	// To counts the answers of the new version.
+	To rollout.Tally `cbor:"2,keyasint"`
+	// Worse says that the VM found the new version worse; all VMs then take it back. The VMs'
+	// sums differ for moments, and a VM that alone kept sessions from the new version would
+	// change the version of sessions that use it.
 	Worse bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Share is the part of the sessions that try a new version where operators allow an
-// exposure over the roll-out's whole time.
-func Share(exposure float64) float64 { return min(shareTimes*exposure, 0.5) }
+// Share returns the share of sessions that try a new version, for the exposure that operators
+// allow over the whole roll-out.
+func Share(exposure float64) float64 { return min(exposureFactor*exposure, 0.5) }
 
-// Trial is one roll-out under way as one VM sees it. It is safe for concurrent use;
-// now is a time since any start, on a clock that runs while the VM is suspended.
+// Trial is one VM's view of a roll-out in progress. It is safe for concurrent use. The argument
+// now is a time on a clock with any origin that runs while the VM is suspended.
 type Trial struct {
 	duration, session time.Duration
 	share             float64
@@ -84,12 +86,12 @@
 	worse  bool
 }
 
-// New starts a trial that was ordered age ago.
+// New starts a trial that was ordered the given age ago.
 func New(now, age, duration, session time.Duration, exposure float64) *Trial {
 	return &Trial{duration: duration, session: session, share: Share(exposure), began: now - age, others: make(map[string]Counts)}
 }
 
-// Age is the time since the order, as far as this VM knows.
+// Age returns the time since the order, as far as this VM knows.
 func (t *Trial) Age(now time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +107,8 @@
 	return c
 }
 
-// Heard takes another VM's word; the older of two ages is nearer to the order.
+// Heard stores another VM's counts. The older of two ages is the better estimate of the time
+// since the order.
 func (t *Trial) Heard(now time.Duration, source string, age time.Duration, c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,7 +117,7 @@
 	t.worse = t.worse || c.Worse
 }
 
-// Answered counts an answer of the new version, or of another.
+// Answered counts an answer of the new or the old version.
 func (t *Trial) Answered(toNew, failed, slow bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,6 +134,7 @@
 	}
 }
 
+// sum adds the tallies of all VMs.
 func (t *Trial) sum() (from, to rollout.Tally) {
 	from, to = t.own.From, t.own.To
 	for _, c := range t.others {
@@ -144,73 +148,74 @@
 	return from, to
 }
 
-// Exposes says whether sessions of the trial's part are to try the new version now.
+// Exposes reports whether the sessions that Session.Tries selects are to use the new version
+// now.
 func (t *Trial) Exposes(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.worse && now-t.began >= t.session+settle
+	return !t.worse && now-t.began >= t.session+startDelay
 }
 
-// Deciding says that the new version may have been taken by now.
+// Deciding reports whether some VM may have taken the new version by now.
 func (t *Trial) Deciding(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return float64(now-t.began) >= decideAt*float64(t.duration)
+	return float64(now-t.began) >= decideShare*float64(t.duration)
 }
 
-// Worse says that a VM found the new version worse.
+// Worse reports whether a VM found the new version worse.
 func (t *Trial) Worse() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.worse
 }
 
-// Judge decides by what is known of all VMs; Reason says by what.
+// Judge decides from the tallies of all VMs and returns the reason, empty while undecided.
 func (t *Trial) Judge(now time.Duration) (d Decision, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from, to := t.sum()
 	evidence := rollout.Worse(from, to, t.share)
-	if evidence >= clearlyWorse || to.Errors+to.Slow >= mostBad {
+	if evidence >= takeBackEvidence || to.Errors+to.Slow >= maxBadAnswers {
 		t.worse = true
 	}
 	part := float64(now-t.began) / float64(t.duration)
 	switch {
 	case t.worse:
 		return TakeBack, "the new version is worse"
-	case part < decideAt:
+	case part < decideShare:
 		return Undecided, ""
-	case to.Requests >= leastAnswers && noWorse(from, to):
+	case to.Requests >= minAnswers && acceptable(from, to):
 		return Take, "no sign against the new version"
-	case part >= giveUpAt:
+	case part >= giveUpShare:
 		return TakeBack, "not enough known of the new version"
 	}
 	return Undecided, ""
 }
 
-// Moved says whether the old version may be stopped, moving after the new one got all
-// requests. Stopped at once, its endpoints cut off the answers under way; and where the
-// operators order the next version right after, sessions that were at the old one a moment
-// ago change their version for no reason that the new order gives.
+// Moved reports whether the old version may be stopped, a time moving after the new one got all
+// requests. If the old version stops at once, its endpoints cut off the answers under way; and
+// if the operators order the next version right after, sessions that just used the old version
+// change versions for no reason in the new order.
 func (t *Trial) Moved(now, moving time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return moving >= t.session || float64(now-t.began) >= movedAt*float64(t.duration)
+	return moving >= t.session || float64(now-t.began) >= completeShare*float64(t.duration)
 }
 
-// noWorse says that the new version's rate of bad answers is the old one's, give or
-// take one standard error of a rate from so few answers.
-func noWorse(from, to rollout.Tally) bool {
+// acceptable reports whether the new version's rate of bad answers exceeds the old one's by no
+// more than the tolerated difference or one standard error of a rate from so few answers.
+func acceptable(from, to rollout.Tally) bool {
 	if from.Requests == 0 {
 		return false
 	}
 	rate := func(t rollout.Tally) float64 { return float64(t.Errors+t.Slow) / float64(t.Requests) }
 	old := min(rate(from), 1)
 	chance := math.Sqrt(old * (1 - old) / float64(to.Requests))
-	return rate(to) <= old+max(tolerated, chance)
+	return rate(to) <= old+max(toleratedRateDifference, chance)
 }
 
-// Sum returns all tallies, for logs and dumps.
+// Sum returns the tallies of all VMs, for logs and dumps.
 func (t *Trial) Sum() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/policy/trial/trial_test.go
+++ b/policy/trial/trial_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// play runs one roll-out at vms VMs with some requests a second, each VM hearing the
-// others' word each 400 ms, and all sessions' versions. bad says whether the new version fails or slows a request.
-type play struct {
+// simulation runs one roll-out on several VMs with perS requests per second. The VMs exchange
+// their counts every 400 ms. newFails says whether the new version fails or slows a request.
+type simulation struct {
 	vms      int
 	perS     float64
 	duration time.Duration
@@ -29,7 +29,7 @@
 	split     int // requests of a session that changed versions in the first half
 }
 
-func (p play) run() outcome {
+func (p simulation) run() outcome {
 	const session, exposure, step = 5 * time.Second, 0.15, 20 * time.Millisecond
 	r := rand.New(rand.NewPCG(p.seed, 9))
 	trials := make([]*Trial, p.vms)
@@ -58,7 +58,7 @@
 			v := r.IntN(p.vms)
 			id := fmt.Sprint(r.Uint64())
 			if len(recent) > 0 && r.Float64() < 0.5 {
-				id = recent[r.IntN(len(recent))] // an older session goes on, at any VM
+				id = recent[r.IntN(len(recent))] // an earlier session continues, on any VM
 			} else if recent = append(recent, id); len(recent) > 40 {
 				recent = recent[1:]
 			}
@@ -66,7 +66,7 @@
 			tries := s.Tries(Share(exposure))
 			toNew := now >= 0 && tries && trials[v].Exposes(now)
 			l, ok := lastOf[id]
-			if known := ok && now-l.at < session+settle; known && !trials[v].Worse() {
+			if known := ok && now-l.at < session+startDelay; known && !trials[v].Worse() {
 				toNew = l.toNew
 			}
 			if ok && now-l.at < session && l.toNew != toNew && now < p.duration/2 && o.decision == Undecided {
@@ -86,7 +86,7 @@
 	return o
 }
 
-func (p play) answer(o *outcome, t *Trial, now time.Duration, toNew bool, r *rand.Rand) {
+func (p simulation) answer(o *outcome, t *Trial, now time.Duration, toNew bool, r *rand.Rand) {
 	o.requests++
 	failed, slow := r.Float64() < p.oldFails, false
 	if toNew {
@@ -102,12 +102,12 @@
 
 func good(time.Duration, *rand.Rand) (bool, bool) { return false, false }
 
-// A good version is taken well within its time, while old and new fail alike now and
-// then, and the sessions that were under way before stay at the old version.
+// A good version must be taken well within its time, though both versions fail now and then,
+// and sessions under way before must stay on the old version.
 func TestGoodVersionIsTaken(t *testing.T) {
 	taken, split := 0, 0
 	for seed := range uint64(40) {
-		p := play{vms: 7, perS: 33, duration: 24 * time.Second, oldFails: 0.02, newFails: good, seed: seed}
+		p := simulation{vms: 7, perS: 33, duration: 24 * time.Second, oldFails: 0.02, newFails: good, seed: seed}
 		o := p.run()
 		split += o.split
 		if o.decision == Take {
@@ -119,9 +119,9 @@
 	require.Zero(t, split)
 }
 
-// Versions that fail or slow a third of what they get, at once or after three seconds,
-// or fail a half while everything fails now and then. None may be taken, and their
-// callers see few bad answers: the operators bound them to 50.
+// Guards against a bad version that is taken or serves too many callers: it fails or slows a
+// third of its requests at once or later, also while both versions fail. Operators limit the
+// bad answers to 50.
 func TestBadVersionIsTakenBack(t *testing.T) {
 	third := func(failed, slow bool, after time.Duration) func(time.Duration, *rand.Rand) (bool, bool) {
 		return func(age time.Duration, r *rand.Rand) (bool, bool) {
@@ -129,7 +129,7 @@
 			return hit && failed, hit && slow
 		}
 	}
-	for name, p := range map[string]play{
+	for name, p := range map[string]simulation{
 		"errors":       {newFails: third(true, false, 0)},
 		"slow":         {newFails: third(false, true, 0)},
 		"late":         {newFails: third(true, false, 9*time.Second)},
@@ -152,9 +152,9 @@
 	}
 }
 
-// One VM finds the new version worse by what it has heard at that moment. The others
-// must follow, or sessions would go to and fro between VMs.
-func TestOneVMsFindingIsAllVMs(t *testing.T) {
+// If one VM finds the new version worse from the counts it has at that moment, the others must
+// follow, or sessions change versions as they move between VMs.
+func TestWorseVerdictSpreads(t *testing.T) {
 	a, b := New(0, 0, 20*time.Second, time.Second, 0.15), New(0, 0, 20*time.Second, time.Second, 0.15)
 	for range 30 {
 		a.Answered(true, true, false)
@@ -167,15 +167,14 @@
 	require.Equal(t, TakeBack, d)
 }
 
-// Nobody asks for the service while its new version is brought in: nothing is known of
-// it, so it isn't taken.
+// A version without requests during the trial gives no evidence, so that it is taken back.
 func TestUnknownVersionIsTakenBack(t *testing.T) {
-	o := play{vms: 3, perS: 0, duration: 20 * time.Second, newFails: good}.run()
+	o := simulation{vms: 3, perS: 0, duration: 20 * time.Second, newFails: good}.run()
 	require.Equal(t, TakeBack, o.decision)
 }
 
-// A VM that starts in the middle of a roll-out takes its age from the others.
-func TestAgeIsTakenFromOthers(t *testing.T) {
+// A VM that starts during a roll-out takes its age from the other VMs.
+func TestAgeComesFromOtherVMs(t *testing.T) {
 	tr := New(100*time.Second, 0, 20*time.Second, 5*time.Second, 0.15)
 	require.False(t, tr.Exposes(100*time.Second))
 	tr.Heard(100*time.Second, "other", 8*time.Second, Counts{})
