--- a/policy/placement/choose.go
+++ b/policy/placement/choose.go
@@ -50,7 +50,7 @@
 
 // sample returns endpoints at equal distances in the list, starting at a random one. Endpoints
 // of the same data centre or version are adjacent in the list, so that each group is
-// represented by its size.
+// represented in proportion to its size.
 func sample(rng *rand.Rand, list []*endpoint) []*endpoint {
 	out := make([]*endpoint, 0, sampleSize+affinityReplicas)
 	at := rng.IntN(len(list))
--- a/policy/placement/endpoint.go
+++ b/policy/placement/endpoint.go
@@ -113,9 +113,9 @@
 	return !r.excluded(e.ID)
 }
 
-// failed starts or extends the time of avoidance after a connection failure. Failures of
+// avoid starts or extends the time of avoidance after a connection failure. Failures of
 // requests that were under way together count once.
-func (e *endpoint) failed(now time.Time) {
+func (e *endpoint) avoid(now time.Time) {
 	e.probing = false
 	if now.Before(e.avoidUntil) {
 		return
@@ -124,8 +124,8 @@
 	e.avoidUntil = now.Add(e.avoidFor)
 }
 
-// succeeded ends the avoidance.
-func (e *endpoint) succeeded() {
+// endAvoidance allows requests to the endpoint again, after an answer from it.
+func (e *endpoint) endAvoidance() {
 	e.probing = false
 	e.avoidFor = 0
 }
--- a/policy/placement/record.go
+++ b/policy/placement/record.go
@@ -75,8 +75,8 @@
 func (t *Table) Records(now time.Time) map[string]Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Record, len(t.busy))
-	for e := range t.busy {
+	out := make(map[string]Record, len(t.active))
+	for e := range t.active {
 		if e.record.reportable(now) {
 			out[e.ID] = Record{Failed: e.record.failed, Runs: e.record.runs, OtherLife: now.Before(e.record.otherLifeUntil)}
 		}
--- a/policy/placement/table.go
+++ b/policy/placement/table.go
@@ -102,8 +102,8 @@
 	endpoints      map[string]*endpoint
 	services       map[string]*pool
 	dataCentresOut map[string]bool
-	// busy holds the endpoints that this VM has load or records of: few among thousands.
-	busy map[*endpoint]struct{}
+	// active holds the endpoints that this VM has load or records of: few among thousands.
+	active map[*endpoint]struct{}
 	// byShortName indexes the endpoints by the short names that VMs use among themselves.
 	byShortName map[uint32]*endpoint
 	// withPeerLoad lists the endpoints with load from other VMs, set at peerLoadAt.
@@ -124,7 +124,7 @@
 
 // New returns a table without endpoints for a VM in the given data centre.
 func New(dataCentre string) *Table {
-	return &Table{DataCentre: dataCentre, endpoints: make(map[string]*endpoint), services: make(map[string]*pool), byShortName: make(map[uint32]*endpoint), busy: make(map[*endpoint]struct{})}
+	return &Table{DataCentre: dataCentre, endpoints: make(map[string]*endpoint), services: make(map[string]*pool), byShortName: make(map[uint32]*endpoint), active: make(map[*endpoint]struct{})}
 }
 
 // Set adds an endpoint or updates it.
@@ -174,7 +174,7 @@
 	}
 	delete(t.endpoints, id)
 	delete(t.byShortName, e.idHash.Short())
-	delete(t.busy, e)
+	delete(t.active, e)
 	t.withRecords = slices.DeleteFunc(t.withRecords, func(o *endpoint) bool { return o == e })
 	p := t.services[e.Service]
 	p.list = slices.DeleteFunc(p.list, func(o *endpoint) bool { return o == e })
@@ -214,7 +214,7 @@
 	for _, e := range t.endpoints {
 		if e.Address == address {
 			e.lost = lost
-			t.busy[e] = struct{}{}
+			t.active[e] = struct{}{}
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	ahead := t.workAt(now, e) + work
 	e.load += work
 	e.requests++
-	t.busy[e] = struct{}{}
+	t.active[e] = struct{}{}
 	if e.avoidFor > 0 {
 		e.probing = true
 	}
@@ -287,12 +287,12 @@
 func (t *Table) Own(now time.Time) map[string]Share {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Share, len(t.busy))
-	for e := range t.busy {
+	out := make(map[string]Share, len(t.active))
+	for e := range t.active {
 		if avoided := e.lost || now.Before(e.avoidUntil); avoided || e.load > 0 {
 			out[e.ID] = Share{Work: e.load, Avoided: avoided}
 		} else if e.requests == 0 && !e.record.reportable(now) {
-			delete(t.busy, e)
+			delete(t.active, e)
 		}
 	}
 	return out
@@ -328,22 +328,22 @@
 	e.requests = max(e.requests-1, 0)
 	switch o {
 	case Good, Failed:
-		e.succeeded()
+		e.endAvoidance()
 		e.record.add(now, o == Failed)
 		if c, changed := t.services[e.Service].currentDetector().Record(now, outlier.Result{Endpoint: e.ID, Failed: o == Failed}); changed {
 			e.outlierState = c.State
 		}
 	case Broken:
 		e.record.add(now, true)
-		e.failed(now)
+		e.avoid(now)
 	case Unreached:
-		e.failed(now)
+		e.avoid(now)
 	case Gone:
 		e.record.otherLifeUntil = now.Add(otherLifeAvoidance)
-		e.failed(now)
+		e.avoid(now)
 		e.avoidFor, e.avoidUntil = max(e.avoidFor, minAvoidance), e.record.otherLifeUntil
 	case Full:
-		e.succeeded()
+		e.endAvoidance()
 	case Neutral:
 		e.probing = false
 	}
--- a/policy/watching/outage.go
+++ b/policy/watching/outage.go
@@ -32,7 +32,7 @@
 type Outage struct {
 	mu           sync.Mutex
 	lost         bool
-	nextTurn     time.Duration // time of the next try at other VMs
+	nextTurn     time.Duration // time of the next try
 	nextCall     time.Duration // time of the next call to the platform
 	granted      bool          // the last turn allows a call that was not made yet
 	claimedUntil time.Duration // a kind calls for all until this time
--- a/policy/watching/peers.go
+++ b/policy/watching/peers.go
@@ -11,9 +11,10 @@
 	// watchers is the number of VMs that watch the platform; the second one covers a failure of
 	// the first.
 	watchers = 2
-	// standIns is the number of VMs ranked after the watchers that call the platform at once if
-	// neither watcher has current state, so that the others find a source within milliseconds.
-	standIns = 2
+	// backupWatchers is the number of VMs ranked after the watchers that call the platform at
+	// once if neither watcher has current state, so that the others find a source within
+	// milliseconds.
+	backupWatchers = 2
 	// takeOverDelay is how long a VM must rank among the first before it watches: among 91 VMs
 	// some of those ranked before it seem absent for a moment. A VM whose source fails starts
 	// to watch at once.
@@ -27,8 +28,8 @@
 	// round trip, and it may be the first VM that has state again.
 	staleBackoff = 200 * time.Millisecond
 	// staleGrace is how far a VM's state exceeds its age limit before the VM calls the platform
-	// itself. It covers a stand-in's call, of 4 ms or of 280 ms while the platform is slow, and
-	// a try at the stand-in's feed. The limit is three quarters of the bound on propagating a
+	// itself. It covers a backup watcher's call, of 4 ms or of 280 ms while the platform is
+	// slow, and a try at its feed. The limit is three quarters of the bound on propagating a
 	// change, which is two seconds or more.
 	staleGrace = 200 * time.Millisecond
 )
@@ -73,20 +74,20 @@
 			out = append(out, peer)
 		}
 	}
-	if len(out) == 0 && (rank >= watchers+standIns || len(place.Last) > 0) {
-		// With no source this VM would watch the platform, which only watchers and stand-ins
-		// do.
+	if len(out) == 0 && (rank >= watchers+backupWatchers || len(place.Last) > 0) {
+		// With no source this VM would watch the platform, which only the watchers and their
+		// backups do.
 		out = []string{slices.MinFunc(peers, func(a, b string) int { return cmp.Compare(p.failed[a].until, p.failed[b].until) })}
 	}
 	return out
 }
 
 // sourceRanks returns the ranks to read from: the parent in the tree, the watchers and the
-// stand-ins. Half of the readers start with either one of each pair.
+// backup watchers. Half of the readers start with either one of each pair.
 func sourceRanks(parent, rank int) []int {
 	out := []int{parent, rank % watchers, (rank + 1) % watchers}
-	for i := range standIns {
-		if r := watchers + (rank+i)%standIns; r < rank {
+	for i := range backupWatchers {
+		if r := watchers + (rank+i)%backupWatchers; r < rank {
 			out = append(out, r)
 		}
 	}
@@ -124,5 +125,5 @@
 // MayAsk reports whether a VM that found no state at other VMs may call the platform. left is
 // how long its own state remains valid, negative if it is too old.
 func MayAsk(rank int, left time.Duration) bool {
-	return rank < watchers+standIns || left <= -staleGrace
+	return rank < watchers+backupWatchers || left <= -staleGrace
 }
--- a/policy/watching/watching_test.go
+++ b/policy/watching/watching_test.go
@@ -73,7 +73,7 @@
 }
 
 // If all sources answered without state, one of them is tried again: a VM without a source
-// watches the platform, which only the watchers and stand-ins may do.
+// watches the platform, which only the watchers and backup watchers may do.
 func TestStaleSourcesMakeNoWatcher(t *testing.T) {
 	var ranked []VM
 	for i, name := range fleet(195) {
@@ -89,7 +89,7 @@
 			watch++
 		}
 	}
-	require.Equal(t, watchers+standIns, watch)
+	require.Equal(t, watchers+backupWatchers, watch)
 }
 
 // A feed that broke by a reset connection is read again after a moment. A VM that is cut off is
@@ -180,8 +180,8 @@
 // moment for these, but call in time for a change to take effect within its bound.
 func TestMayAsk(t *testing.T) {
 	require.True(t, MayAsk(0, time.Second))
-	require.True(t, MayAsk(watchers+standIns-1, time.Second))
-	require.False(t, MayAsk(watchers+standIns, time.Second))
+	require.True(t, MayAsk(watchers+backupWatchers-1, time.Second))
+	require.False(t, MayAsk(watchers+backupWatchers, time.Second))
 	require.False(t, MayAsk(90, 0))
 	require.True(t, MayAsk(90, -staleGrace))
 }
