--- a/policy/rollout/brake.go
+++ b/policy/rollout/brake.go
@@ -6,24 +6,28 @@
 	"goldcrestfork/config"
 )
 
-// ReasonBraked: the new version was found bad, and the configuration can't say so yet.
+// ReasonBraked is the reason for the old version while the new one is known to be
+// bad and the configuration can't be changed yet.
 const ReasonBraked = "the new version is braked"
 
-// Brakes keeps new versions that were found bad from requests without a session
-// while the platform's store is down and the roll-out can't be rolled back.
-// Without it a version that turns bad at the start of an outage keeps its share
-// until the outage ends.
+// Brakes records new versions that were found bad while the platform's store is
+// down and the roll-out can't be rolled back. Requests without a session then avoid
+// these versions. Without Brakes, a version that degrades at the start of an outage
+// would keep its share until the outage ends.
 //
-// A brake is for one epoch: whatever an operator or the controller writes ends
-// it. Sessions are left alone: with the store down their version is the hash of
-// their id, on every VM alike, and a VM that hasn't heard of the brake would
-// move them back. Safe for concurrent use; the zero value has no brakes.
+// A brake applies to one epoch, so any change of the roll-out by an operator or the
+// controller ends it. Sessions are not affected: while the store is down every VM
+// derives a session's version from the hash of its id, and a VM that has not yet
+// received the brake would move the session back.
+//
+// Brakes is safe for concurrent use. The zero value has no brakes.
 type Brakes struct {
 	mu     sync.RWMutex
 	epochs map[string]int64
 }
 
-// Set brakes a roll-out's new version in one epoch; an older epoch changes nothing.
+// Set brakes a roll-out's new version in one epoch. An epoch older than the
+// recorded one changes nothing.
 func (b *Brakes) Set(rollOut string, epoch int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -33,7 +37,7 @@
 	b.epochs[rollOut] = max(b.epochs[rollOut], epoch)
 }
 
-// On says whether the roll-out's new version is braked.
+// On reports whether the roll-out's new version is braked.
 func (b *Brakes) On(r *config.RollOut) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -41,7 +45,7 @@
 	return ok && epoch == r.Revision && UnderWay(r)
 }
 
-// Forget drops the brakes of roll-outs that are not in s.
+// Forget removes the brakes of roll-outs that are not in s.
 func (b *Brakes) Forget(s *config.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,8 +56,8 @@
 	}
 }
 
-// Choose is the function Choose for a request without a session: a braked
-// version is taken only where the old one isn't usable.
+// Choose works like the function Choose for a request without a session, but
+// returns a braked version only if the old version isn't usable.
 func (b *Brakes) Choose(r *config.RollOut, key string, usable func(version string) bool) (Choice, bool) {
 	if b.On(r) && usable(r.From) {
 		return Choice{Version: r.From, Reason: ReasonBraked}, true
--- a/policy/rollout/choose.go
+++ b/policy/rollout/choose.go
@@ -9,12 +9,12 @@
 	"goldcrestfork/config"
 )
 
-// Arm is a side of the comparison.
+// Arm is the side of the comparison that a request belongs to.
 type Arm int
 
 // The arms.
 const (
-	// ArmNone: the request isn't part of the comparison.
+	// ArmNone marks a request that is not part of the comparison.
 	ArmNone Arm = iota
 	// ArmFrom is the old version.
 	ArmFrom
@@ -22,13 +22,13 @@
 	ArmTo
 )
 
-// Choice is the version for a new session or request.
+// Choice is the version that a new session or request gets.
 type Choice struct {
 	// Version is the model version's name.
 	Version string
-	// Arm is the side the outcome counts for.
+	// Arm is the side of the comparison that counts the outcome.
 	Arm Arm
-	// Reason tells why this version.
+	// Reason says why the version was chosen.
 	Reason string
 }
 
@@ -38,56 +38,61 @@
 	ReasonUsable = "the other version is withdrawn or not allowed"
 )
 
-// Of returns the model's roll-out, or nil. Where an operator left several, one
-// that is under way goes before a finished one, then the higher revision, then
-// the name, so that all VMs at one revision agree.
+// Of returns the model's roll-out, or nil if it has none. If several roll-outs name
+// the model, one that is under way takes precedence over a finished one, then the
+// higher revision, then the first name in alphabetical order, so that all VMs at
+// one revision agree.
 func Of(s *config.Snapshot, model string) *config.RollOut {
 	var best *config.RollOut
 	for _, name := range slices.Sorted(maps.Keys(s.RollOuts)) {
 		r := s.RollOuts[name]
-		if r.Model == model && (best == nil || before(r, best)) {
+		if r.Model == model && (best == nil || takesPrecedence(r, best)) {
 			best = r
 		}
 	}
 	return best
 }
 
-func before(a, b *config.RollOut) bool {
+// takesPrecedence reports whether roll-out a is preferred to roll-out b.
+func takesPrecedence(a, b *config.RollOut) bool {
 	if UnderWay(a) != UnderWay(b) {
 		return UnderWay(a)
 	}
 	return a.Revision > b.Revision
 }
 
-// UnderWay says that the roll-out may still change its share.
+// UnderWay reports whether the roll-out is running or paused, so that its share may
+// still change.
 func UnderWay(r *config.RollOut) bool {
 	return r.State == config.RollOutRunning || r.State == config.RollOutPaused
 }
 
-// HoldBack is the share of new work that the old version keeps until the roll-out
-// is done, so that the last step too has something to compare with. Without it
-// a pool that dies in the last step looks like a bad version. 5%: as the new
-// version's share in a usual first step.
-const HoldBack = 0.05
+// OldVersionMinShare is the share of new work that the old version keeps until the
+// roll-out is done, so that the last step also has a baseline to compare with.
+// Without it, a pool that goes down in the last step would look like a bad version.
+// The value equals the usual share of the new version in a first step.
+const OldVersionMinShare = 0.05
 
-// Share is the share of new work that the new version gets, 0..1.
+// Share returns the share of new work that the new version gets, from 0 to 1.
 func Share(r *config.RollOut) float64 {
 	if UnderWay(r) {
-		return min(r.Share(), 1-HoldBack)
+		return min(r.Share(), 1-OldVersionMinShare)
 	}
 	return r.Share()
 }
 
-// Choose returns the version for a new session (key is the session's id) or a
-// request without one (key is the request's). usable says whether a version
-// serves and the account allows it. False means that neither version is usable.
+// Choose returns the version for a new session, with the session's id as key, or
+// for a request without a session, with the request's id as key. The function
+// usable reports whether a version serves and the account allows it. Choose returns
+// false if neither version is usable.
 //
-// A request that only one version may run is left out of the comparison: its
-// account or its moment differs from the others', which would bias the test.
+// A request that only one version may run is excluded from the comparison: its
+// account or its time differs from those of the other requests, which would bias
+// the test.
 func Choose(r *config.RollOut, key string, usable func(version string) bool) (Choice, bool) {
 	from, to := usable(r.From), usable(r.To)
 	switch {
-	case from && to && Point(r, key) < Share(r):
+	case from && to && HashPosition(r, key) < Share(r):
 		return Choice{Version: r.To, Arm: ArmTo, Reason: ReasonShare}, true
 	case from && to:
 		return Choice{Version: r.From, Arm: ArmFrom, Reason: ReasonShare}, true
@@ -99,17 +104,19 @@
 	return Choice{}, false
 }
 
-// pointBits is the precision of Point: what a float64 holds exactly.
+// pointBits is the precision of HashPosition in bits, the largest that a float64
+// represents exactly.
 const pointBits = 53
 
-// Point places a key in [0,1) for this roll-out. It depends on the versions but
-// not on the step, so that a growing share only adds keys; and it differs from
-// one new version to the next, so that the same sessions aren't always the first.
-func Point(r *config.RollOut, key string) float64 {
+// HashPosition maps a key to a position in [0,1) for this roll-out. The position
+// depends on the model and the new version but not on the step, so a growing share
+// only adds keys. It differs from one new version to the next, so that the first
+// step does not always select the same sessions.
+func HashPosition(r *config.RollOut, key string) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range [...]string{r.Model, "\x00", r.To, "\x00", key} {
-		_, _ = h.WriteString(part) // never fails
+		_, _ = h.WriteString(part) // Digest.WriteString always returns a nil error
 	}
 	return float64(h.Sum64()>>(64-pointBits)) / (1 << pointBits)
 }
--- a/policy/rollout/compare.go
+++ b/policy/rollout/compare.go
@@ -1,11 +1,12 @@
 package rollout
 
-// Worse compares two versions by their bad events so far and returns the log evidence
-// that the new one is worse (see evidence.go); share is the part of new work that it
-// gets. It depends on totals alone, so that it may be asked at any moment.
+// Worse returns the log evidence that the new version is worse than the old one in
+// errors or in slow answers, whichever is larger (see evidence.go). The share is
+// the part of new work that the new version gets. The result depends only on
+// totals, so it may be computed at any time.
 func Worse(from, to Tally, share float64) float64 {
 	return max(
-		evidence(from.events(SignalErrors), to.events(SignalErrors), share),
-		evidence(from.events(SignalSlow), to.events(SignalSlow), share),
+		logEvidence(from.events(SignalErrors), to.events(SignalErrors), share),
+		logEvidence(from.events(SignalSlow), to.events(SignalSlow), share),
 	)
 }
--- a/policy/rollout/counts.go
+++ b/policy/rollout/counts.go
@@ -9,21 +9,24 @@
 	"goldcrestfork/config"
 )
 
-// Tally is what one version's requests came to.
+// Tally counts the outcomes of one version's requests.
 type Tally struct {
-	// Requests that ended, whatever the outcome.
+	// Requests is the number of requests that ended, whatever the outcome.
 	Requests uint64 `cbor:"1,keyasint" json:"requests"`
-	// Errors are keys with a request that the version's endpoints failed.
+	// Errors is the number of keys with a request that the version's endpoints
+	// failed.
 	Errors uint64 `cbor:"2,keyasint" json:"errors"`
-	// Slow are keys with a request whose first token came later than the model's bound.
+	// Slow is the number of keys with a request whose first token came later than
+	// the model's bound.
 	Slow uint64 `cbor:"3,keyasint" json:"slow"`
-	// Rated are answers with a rating, Poor keys with one rated below the account's target.
+	// Rated is the number of answers with a rating. Poor is the number of keys with
+	// an answer rated below the account's target.
 	Rated uint64 `cbor:"4,keyasint" json:"rated"`
 	Poor  uint64 `cbor:"5,keyasint" json:"poor"`
 }
 
-// raise takes the larger of each count.
-func (t *Tally) raise(o Tally) {
+// mergeMax sets each count to the larger of t's and o's.
+func (t *Tally) mergeMax(o Tally) {
 	t.Requests = max(t.Requests, o.Requests)
 	t.Errors = max(t.Errors, o.Errors)
 	t.Slow = max(t.Slow, o.Slow)
@@ -39,50 +42,56 @@
 	t.Poor += o.Poor
 }
 
-// Counts are one source's tallies of one roll-out's epoch.
+// Counts holds one source's tallies for one epoch of a roll-out.
 type Counts struct {
-	// Source names who counted: a VM's incarnation, or the data centre of an
-	// aggregate. Sources that are added up must count different requests.
+	// Source names the origin of the counts: a VM's incarnation, or the data centre
+	// of an aggregate. Sources that are summed must count disjoint sets of
+	// requests.
 	Source string `cbor:"1,keyasint,omitempty" json:"source"`
-	// RollOut is the roll-out's name, Epoch its configuration revision.
+	// RollOut is the roll-out's name, and Epoch its configuration revision.
 	RollOut string `cbor:"2,keyasint" json:"rollOut"`
 	Epoch   int64  `cbor:"3,keyasint" json:"epoch"`
 	From    Tally  `cbor:"4,keyasint" json:"from"`
 	To      Tally  `cbor:"5,keyasint" json:"to"`
 }
 
-// Totals adds up reports by source. Of one source's reports the larger of each
-// count is taken: a VM's only grow, and of a data centre's, which shrink where its
-// first VM was replaced and the counts of VMs that are gone went with it, each is
-// a part of what took place. So no total ever shrinks; a window of the comparison
-// that began before would otherwise hold fewer than no events. A source's
-// reports stay when it is gone. Not safe for concurrent use.
+// Totals sums the reports of all sources. For each source and count, Totals keeps
+// the largest value reported. A VM's counts only grow. A data centre's counts
+// shrink when its first VM is replaced, because the counts of VMs that are gone are
+// lost with it; each report is still a part of the events that took place. A total
+// therefore never shrinks; a window of the comparison that began before would
+// otherwise hold a negative number of events. The reports of a source are kept when
+// the source is gone.
+//
+// Totals is not safe for concurrent use.
 type Totals struct {
 	epoch   int64
 	reports map[string]Counts
 }
 
-// Reset starts an epoch; reports of another one are ignored from then on.
+// Reset starts an epoch and drops all reports. Reports of other epochs are ignored
+// from then on.
 func (t *Totals) Reset(epoch int64) {
 	t.epoch = epoch
 	t.reports = make(map[string]Counts)
 }
 
-// Epoch returns the epoch in force.
+// Epoch returns the current epoch.
 func (t *Totals) Epoch() int64 { return t.epoch }
 
-// Add takes a report; doubled, late and crossed ones change nothing.
+// Add adds a report. Duplicate, late and reordered reports change nothing, and
+// neither do reports of another epoch.
 func (t *Totals) Add(c Counts) {
 	if c.Epoch != t.epoch {
 		return
 	}
 	known := t.reports[c.Source]
-	c.From.raise(known.From)
-	c.To.raise(known.To)
+	c.From.mergeMax(known.From)
+	c.To.mergeMax(known.To)
 	t.reports[c.Source] = c
 }
 
-// Sum returns the totals of both versions.
+// Sum returns the totals of the old and the new version.
 func (t *Totals) Sum() (from, to Tally) {
 	for _, c := range t.reports {
 		from.add(c.From)
@@ -91,98 +100,107 @@
 	return from, to
 }
 
-// Outcome is how one request ended, for the comparison.
+// Outcome describes how one request ended, as far as the comparison needs it.
 type Outcome struct {
-	// Failed: the endpoint failed it. A caller that went away and a refusal for
-	// want of room are not the version's doing and aren't recorded.
+	// Failed says that the endpoint failed the request. A caller that disconnects
+	// and a refusal for lack of capacity are not caused by the version and aren't
+	// recorded.
 	Failed bool
-	// Slow: the first token came later than the model's bound.
+	// Slow says that the first token came later than the model's bound.
 	Slow bool
 }
 
-// maxBadKeys bounds the remembered keys with a bad event, a roll-out. Grounds:
-// at 31 requests a second of a VM (12,000 over 400), 2 in 100 of them bad, two hours' worth.
-const maxBadKeys = 4096
+// maxBadEvents bounds the remembered bad events of a roll-out. At 31 requests a
+// second on each VM (12,000 over 400 VMs), with 2 in 100 bad, the bound covers
+// about two hours.
+const maxBadEvents = 4096
 
-// Recorder counts the outcomes of one VM. Safe for concurrent use.
+// Recorder counts the outcomes of the requests of one VM. It is safe for concurrent
+// use.
 type Recorder struct {
 	source string
 
-	mu       sync.Mutex
-	rollOuts map[string]*recording
+	mu      sync.Mutex
+	records map[string]*epochRecord
 }
 
-type recording struct {
+// epochRecord holds the counts of one epoch of a roll-out.
+type epochRecord struct {
 	counts Counts
-	// bad remembers which keys had which bad event.
-	bad *lru.Cache[badEvent, struct{}]
+	// badEvents holds the pairs of key and signal that were counted already.
+	badEvents *lru.Cache[badEvent, struct{}]
 }
 
+// badEvent identifies a bad event by the hash of its key and by its signal.
 type badEvent struct {
 	key    uint64
 	signal Signal
 }
 
-// NewRecorder returns a Recorder; source names this incarnation of the VM, so
-// that a replaced VM's counts are added to its predecessor's, not lost in them.
+// NewRecorder returns a Recorder. The source names this incarnation of the VM, so
+// that the counts of a replacement VM are added to those of its predecessor instead
+// of replacing them.
 func NewRecorder(source string) *Recorder {
-	return &Recorder{source: source, rollOuts: make(map[string]*recording)}
+	return &Recorder{source: source, records: make(map[string]*epochRecord)}
 }
 
-// Request records how a request that Choose placed by key has ended. r is the
-// roll-out at the revision of the choice.
+// Request records the outcome of a request that Choose assigned by key. The
+// argument r is the roll-out at the revision of the choice.
 //
-// Of one key, each kind of bad event counts once an epoch. A session that fails
-// fails as a whole, and a request that crashes each endpoint that runs it is sent
-// again by its caller; each time the key falls on the same side. Counted each
-// time, a few such keys would look like a bad version.
+// Each kind of bad event counts once for a key and epoch. A session often fails as
+// a whole, and a caller resends a request that crashes every endpoint that runs it;
+// the key is assigned to the same version each time. If every repetition counted, a
+// few such keys would look like a bad version.
 func (c *Recorder) Request(r *config.RollOut, arm Arm, key string, o Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rec := c.recording(r)
+	rec := c.record(r)
 	tally := rec.tally(arm)
 	if tally == nil {
 		return
 	}
 	tally.Requests++
-	if o.Failed && rec.first(key, SignalErrors) {
+	if o.Failed && rec.firstOccurrence(key, SignalErrors) {
 		tally.Errors++
 	}
-	if o.Slow && rec.first(key, SignalSlow) {
+	if o.Slow && rec.firstOccurrence(key, SignalSlow) {
 		tally.Slow++
 	}
 }
 
-// Rating records the rating of an answer; poor is a rating below the account's target.
+// Rating records the rating of an answer; poor says that the rating is below the
+// account's target.
 func (c *Recorder) Rating(r *config.RollOut, arm Arm, key string, poor bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rec := c.recording(r)
+	rec := c.record(r)
 	tally := rec.tally(arm)
 	if tally == nil {
 		return
 	}
 	tally.Rated++
-	if poor && rec.first(key, SignalRatings) {
+	if poor && rec.firstOccurrence(key, SignalRatings) {
 		tally.Poor++
 	}
 }
 
-// first says whether the key has this bad event for the first time.
-func (r *recording) first(key string, signal Signal) bool {
-	seen, _ := r.bad.ContainsOrAdd(badEvent{xxhash.Sum64String(key), signal}, struct{}{})
+// firstOccurrence records a bad event and reports whether it is the first of its
+// key and signal.
+func (r *epochRecord) firstOccurrence(key string, signal Signal) bool {
+	seen, _ := r.badEvents.ContainsOrAdd(badEvent{xxhash.Sum64String(key), signal}, struct{}{})
 	return !seen
 }
 
-// Counts returns the reports on the roll-outs under way in s, and forgets the others.
+// Counts returns the reports on the roll-outs that are under way in s, and drops
+// the others.
 func (c *Recorder) Counts(s *config.Snapshot) []Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Counts
-	for name, rec := range c.rollOuts {
+	for name, rec := range c.records {
 		r, ok := s.RollOuts[name]
 		if !ok || !UnderWay(r) {
-			delete(c.rollOuts, name)
+			delete(c.records, name)
 			continue
 		}
 		out = append(out, rec.counts)
@@ -190,28 +208,29 @@
 	return out
 }
 
-// recording returns the epoch's recording; nil for an answer of an older epoch.
-// Callers hold c.mu.
-func (c *Recorder) recording(r *config.RollOut) *recording {
-	rec, ok := c.rollOuts[r.Name]
+// record returns the record of the epoch of r, or nil if a later epoch is recorded
+// already. Callers hold c.mu.
+func (c *Recorder) record(r *config.RollOut) *epochRecord {
+	rec, ok := c.records[r.Name]
 	if ok && rec.counts.Epoch > r.Revision {
 		return nil
 	}
 	if !ok || rec.counts.Epoch < r.Revision {
-		bad, err := lru.New[badEvent, struct{}](maxBadKeys)
+		bad, err := lru.New[badEvent, struct{}](maxBadEvents)
 		if err != nil {
 			panic(err) // only a size below one fails
 		}
-		rec = &recording{
-			counts: Counts{Source: c.source, RollOut: r.Name, Epoch: r.Revision},
-			bad:    bad,
+		rec = &epochRecord{
+			counts:    Counts{Source: c.source, RollOut: r.Name, Epoch: r.Revision},
+			badEvents: bad,
 		}
-		c.rollOuts[r.Name] = rec
+		c.records[r.Name] = rec
 	}
 	return rec
 }
 
-func (r *recording) tally(arm Arm) *Tally {
+// tally returns the tally of an arm, or nil if r is nil or the arm is ArmNone.
+func (r *epochRecord) tally(arm Arm) *Tally {
 	switch {
 	case r == nil:
 		return nil
--- a/policy/rollout/doc.go
+++ b/policy/rollout/doc.go
@@ -1,22 +1,25 @@
-// Package rollout decides which version a new session or request gets while a
-// roll-out is under way, and whether the new version may have more work.
+// Package rollout chooses the model version of each new session or request during a
+// roll-out, and decides whether the roll-out may advance.
 //
-// Load pattern: a new version that is worse than the old one in errors, latency
-// or ratings, met while both share whatever else goes wrong (a pool that dies, a
-// slow store, a caller that repeats a request that crashes endpoints). Without
-// it a bad version is found by its callers, and a step is taken back by hand.
+// It protects callers against a new version that is worse than the old one in
+// errors, latency or ratings, at the same time as both versions share other faults:
+// a pool that goes down, a slow store, or a caller that resends a request that
+// crashes endpoints. Without the package, callers would discover a bad version and
+// an operator would have to roll it back by hand.
 //
-// Choose is a deterministic function of a key and the roll-out, so that all VMs
-// agree without asking each other, and monotone: a key that has the new version
-// keeps it when the share rises.
+// Choose is a deterministic function of a key and the roll-out, so all VMs make the
+// same choice without communication. It is monotone: a key that gets the new
+// version keeps it when the share rises.
 //
-// Monitor compares the versions by a sequential test on bad events (see
-// evidence.go). Over an epoch the test depends on totals alone, so any VM that
-// has the counts comes to the same verdict, also one that takes a roll-out over
-// halfway; its windows, for a version that turns bad late, start anew there.
+// Monitor compares the versions with a sequential test on bad events (see
+// evidence.go). For a whole epoch the test depends only on totals, so any VM that
+// has the counts reaches the same verdict, including a VM that takes over the
+// roll-out midway. The windows, which detect a version that degrades late, restart
+// on the VM that takes over.
 //
-// Counts belong to one epoch, the roll-out's configuration revision: within it
-// the share is constant, and both versions see the same mix of requests.
+// Counts belong to one epoch, which is the configuration revision of the roll-out.
+// Within an epoch the share is constant and both versions receive the same mix of
+// requests.
 //
 // The package uses no network and no clock.
 //
--- a/policy/rollout/example_test.go
+++ b/policy/rollout/example_test.go
@@ -7,8 +7,9 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// A session gets its version from its id and the roll-out alone, so that every VM
-// gives it the same; where the account may use only the old version, it gets that.
+// A session gets its version from its id and the roll-out alone, so every VM makes
+// the same choice. An account that may only use the old version gets the old
+// version.
 func ExampleChoose() {
 	r := &config.RollOut{
 		Model: "asistente", From: "asistente-4", To: "asistente-5",
--- a/policy/rollout/rollout_test.go
+++ b/policy/rollout/rollout_test.go
@@ -22,7 +22,8 @@
 
 func all(string) bool { return true }
 
-// A session that got the new version keeps it while the share rises, whichever VM is asked.
+// A session that got the new version must keep it while the share rises, on every
+// VM.
 func TestChooseIsMonotone(t *testing.T) {
 	to := 0
 	for i := range 20000 {
@@ -38,7 +39,7 @@
 				to++
 			}
 		}
-		require.Equal(t, Point(rollOut(0), key) < 1-HoldBack, had, "all but those held back")
+		require.Equal(t, HashPosition(rollOut(0), key) < 1-OldVersionMinShare, had, "the last step covers all keys but the old version's minimum share")
 	}
 	require.InDelta(t, 1000, to, 4*math.Sqrt(20000*0.05*0.95), "5% of 20000 within four standard deviations")
 }
@@ -54,7 +55,7 @@
 	require.Equal(t, Choice{Version: "v2", Reason: ReasonUsable}, c)
 	r.State = config.RollOutRolledBack
 	_, ok = Choose(r, "k", only("v2"))
-	require.False(t, ok, "a version that was rolled back isn't a way out of the old one's withdrawal")
+	require.False(t, ok, "a version that was rolled back doesn't replace a withdrawn old version")
 	_, ok = Choose(r, "k", only(""))
 	require.False(t, ok)
 }
@@ -70,7 +71,8 @@
 	require.Equal(t, b, Of(s, "ierburi"))
 }
 
-// tally builds one side: requests, errors, slow, rated, poor.
+// tally builds a Tally from the numbers of requests, errors, slow, rated and poor
+// answers.
 func tally(n ...uint64) Tally { return Tally{n[0], n[1], n[2], n[3], n[4]} }
 
 func TestEvaluate(t *testing.T) {
@@ -85,42 +87,41 @@
 		incomplete bool
 		want       Action
 	}{
-		"equal":                       {1, config.RollOutRunning, good, goodTo, long, false, Advance},
-		"equal, too early":            {1, config.RollOutRunning, good, goodTo, time.Minute, false, Hold},
-		"equal, counts missing":       {1, config.RollOutRunning, good, goodTo, long, true, Hold},
-		"too few requests":            {1, config.RollOutRunning, good, tally(300, 3, 3, 300, 30), long, false, Hold},
-		"no ratings come":             {1, config.RollOutRunning, good, tally(1000, 10, 10, 0, 0), long, false, Hold},
-		"errors":                      {1, config.RollOutRunning, few, tally(100, 20, 1, 100, 10), 0, false, RollBack},
-		"errors, counts missing":      {1, config.RollOutRunning, few, tally(100, 20, 1, 100, 10), 0, true, RollBack},
-		"errors while paused":         {1, config.RollOutPaused, few, tally(100, 20, 1, 100, 10), 0, false, RollBack},
-		"poor ratings":                {1, config.RollOutRunning, few, tally(100, 1, 1, 100, 50), 0, false, RollBack},
-		"slow":                        {1, config.RollOutRunning, few, tally(100, 1, 25, 100, 10), 0, false, Pause},
-		"slow while settling":         {1, config.RollOutPaused, few, tally(100, 1, 25, 100, 10), 0, false, Hold},
-		"slow after settling":         {1, config.RollOutPaused, few, tally(100, 1, 25, 100, 10), long, false, RollBack},
-		"both fail: a pool died":      {1, config.RollOutRunning, tally(9500, 9000, 0, 500, 50), tally(500, 480, 0, 25, 3), 0, false, Hold},
-		"sure, but a tiny difference": {3, config.RollOutRunning, tally(1e6, 500, 0, 1e6, 0), tally(1e6, 1500, 0, 1e6, 0), long, false, Hold},
-		"leans to worse":              {1, config.RollOutRunning, good, tally(1000, 18, 10, 1000, 100), long, false, Hold},
-		"last step":                   {4, config.RollOutRunning, tally(500, 5, 5, 500, 50), tally(9500, 95, 95, 9500, 950), long, false, Finish},
-		"last step, errors":           {4, config.RollOutRunning, tally(500, 5, 0, 500, 50), tally(9500, 1900, 0, 0, 0), 0, false, RollBack},
-		"last step, both fail":        {4, config.RollOutRunning, tally(500, 250, 0, 500, 50), tally(9500, 4800, 0, 0, 0), 0, false, Hold},
-		"last step, too early":        {4, config.RollOutRunning, tally(500, 5, 5, 500, 50), tally(9500, 95, 95, 9500, 950), 0, false, Hold},
-		"done":                        {4, config.RollOutDone, good, goodTo, long, false, Hold},
-		"rolled back":                 {1, config.RollOutRolledBack, good, goodTo, long, false, Hold},
+		"equal":                            {1, config.RollOutRunning, good, goodTo, long, false, Advance},
+		"equal, too early":                 {1, config.RollOutRunning, good, goodTo, time.Minute, false, Hold},
+		"equal, counts missing":            {1, config.RollOutRunning, good, goodTo, long, true, Hold},
+		"too few requests":                 {1, config.RollOutRunning, good, tally(300, 3, 3, 300, 30), long, false, Hold},
+		"no ratings come":                  {1, config.RollOutRunning, good, tally(1000, 10, 10, 0, 0), long, false, Hold},
+		"errors":                           {1, config.RollOutRunning, few, tally(100, 20, 1, 100, 10), 0, false, RollBack},
+		"errors, counts missing":           {1, config.RollOutRunning, few, tally(100, 20, 1, 100, 10), 0, true, RollBack},
+		"errors while paused":              {1, config.RollOutPaused, few, tally(100, 20, 1, 100, 10), 0, false, RollBack},
+		"poor ratings":                     {1, config.RollOutRunning, few, tally(100, 1, 1, 100, 50), 0, false, RollBack},
+		"slow":                             {1, config.RollOutRunning, few, tally(100, 1, 25, 100, 10), 0, false, Pause},
+		"slow while settling":              {1, config.RollOutPaused, few, tally(100, 1, 25, 100, 10), 0, false, Hold},
+		"slow after settling":              {1, config.RollOutPaused, few, tally(100, 1, 25, 100, 10), long, false, RollBack},
+		"both fail, pool down":             {1, config.RollOutRunning, tally(9500, 9000, 0, 500, 50), tally(500, 480, 0, 25, 3), 0, false, Hold},
+		"strong evidence, tiny difference": {3, config.RollOutRunning, tally(1e6, 500, 0, 1e6, 0), tally(1e6, 1500, 0, 1e6, 0), long, false, Hold},
+		"likely worse":                     {1, config.RollOutRunning, good, tally(1000, 18, 10, 1000, 100), long, false, Hold},
+		"last step":                        {4, config.RollOutRunning, tally(500, 5, 5, 500, 50), tally(9500, 95, 95, 9500, 950), long, false, Finish},
+		"last step, errors":                {4, config.RollOutRunning, tally(500, 5, 0, 500, 50), tally(9500, 1900, 0, 0, 0), 0, false, RollBack},
+		"last step, both fail":             {4, config.RollOutRunning, tally(500, 250, 0, 500, 50), tally(9500, 4800, 0, 0, 0), 0, false, Hold},
+		"last step, too early":             {4, config.RollOutRunning, tally(500, 5, 5, 500, 50), tally(9500, 95, 95, 9500, 950), 0, false, Hold},
+		"done":                             {4, config.RollOutDone, good, goodTo, long, false, Hold},
+		"rolled back":                      {1, config.RollOutRolledBack, good, goodTo, long, false, Hold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := rollOut(c.step)
 			r.State = c.state
 			s := DefaultSettings()
-			v := evaluate(s, r, []view{{c.from, c.to, s.limit(r)}}, c.elapsed, !c.incomplete)
+			v := evaluate(s, r, []comparison{{c.from, c.to, s.epochLimit(r)}}, c.elapsed, !c.incomplete)
 			require.Equal(t, c.want.String(), v.Action.String(), v.Reason)
 			require.NotEmpty(t, v.Reason)
 		})
 	}
 }
 
-// A version serves an hour well and then turns bad in the same step. Its good
-// hour must not hide it: the callers it fails are few only if the latest window
-// is judged by itself.
+// A version serves well for an hour and then degrades in the same step. If only the
+// totals of the epoch counted, the good hour would hide the failures for long.
 func TestTurnsBadLate(t *testing.T) {
 	m, r, now := NewMonitor(DefaultSettings()), rollOut(1), time.Unix(0, 0)
 	m.Begin(r.Revision, now)
@@ -141,8 +142,8 @@
 	require.LessOrEqual(t, 20*seconds, 200, "requests of the bad version until it is rolled back")
 }
 
-// Reports reach the controller doubled, late and in any order. The sum must be
-// that of each source's last report, or verdicts would count requests twice.
+// Reports reach the controller duplicated, late and in any order. If the sum
+// weren't that of each source's last report, verdicts would count requests twice.
 func TestTotalsAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -169,10 +170,10 @@
 	})
 }
 
-// The first VM of a data centre is replaced; its successor lacks the counts of the
-// VMs that are gone, and passes them in requests before it does in errors. No
-// count may shrink: a window begun before would wrap around and show a good
-// version as endlessly bad.
+// When the first VM of a data centre is replaced, its successor lacks the counts of
+// the VMs that are gone, and may exceed the earlier report in requests before it
+// does in errors. If a count shrank, the difference to a window's start would wrap
+// around and a good version would look extremely bad.
 func TestTotalsNeverShrink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -181,7 +182,7 @@
 		scale := uint64(1)
 		for range 40 {
 			scale += rng.Uint64N(30)
-			part := 1 + rng.Uint64N(2) // half of the VMs' counts, or all
+			part := 1 + rng.Uint64N(2) // 2 reports half of the counts, 1 all of them
 			share := func(n uint64) uint64 { return scale * n / part / 100 }
 			m.Add(Counts{
 				Source: "nord", Epoch: r.Revision,
@@ -197,9 +198,9 @@
 	})
 }
 
-// One caller sends a request that crashes its endpoint again and again, and a
-// session goes wrong as a whole; their keys fall on the new version each time.
-// These callers fail either way, but the version must not be rolled back for it.
+// One caller resends a request that crashes its endpoints, and a session fails as a
+// whole; their keys belong to the new version each time. Both versions would fail
+// these requests, so the roll-out must not be rolled back for them.
 func TestOneKeyIsNoEvidence(t *testing.T) {
 	rec, r := NewRecorder("vm-1"), rollOut(1)
 	for range 500 {
@@ -228,7 +229,7 @@
 	s := &config.Snapshot{RollOuts: map[string]*config.RollOut{"r": next}}
 	rec.Request(old, ArmTo, "a", Outcome{})
 	rec.Request(next, ArmTo, "b", Outcome{Slow: true})
-	rec.Request(old, ArmTo, "c", Outcome{}) // an answer of the step before
+	rec.Request(old, ArmTo, "c", Outcome{}) // an answer from the previous step
 	rec.Request(next, ArmNone, "d", Outcome{})
 	counts := rec.Counts(s)
 	require.Equal(t, []Counts{{Source: "vm-1", RollOut: "r", Epoch: 8, To: Tally{Requests: 1, Slow: 1}}}, counts)
@@ -258,9 +259,10 @@
 	}
 }
 
-// BenchmarkMemory is what a Recorder allocates for so many keys with a bad event.
+// BenchmarkMemory measures what a Recorder allocates for a number of keys that each
+// have a bad event.
 func BenchmarkMemory(b *testing.B) {
-	for _, keys := range []int{256, 1024, maxBadKeys} {
+	for _, keys := range []int{256, 1024, maxBadEvents} {
 		b.Run(fmt.Sprint("keys=", keys), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
