--- a/policy/cascade/cascade_test.go
+++ b/policy/cascade/cascade_test.go
@@ -44,7 +44,7 @@
 
 func exact() Settings {
 	s := DefaultSettings()
-	s.Explore, s.Margin = 0, 0
+	s.ExploreShare, s.Margin = 0, 0
 	return s
 }
 
@@ -114,7 +114,7 @@
 	}{
 		"good":                      {0, Outcome{Rating: 0.75}, Decision{Accept, ReasonRated}},
 		"poor":                      {0, Outcome{Rating: 0.74}, Decision{Escalate, ReasonRatedPoor}},
-		"last step takes anything":  {2, Outcome{Rating: 0}, Decision{Accept, ReasonLastStep}},
+		"last step, poor":           {2, Outcome{Rating: 0}, Decision{Accept, ReasonLastStep}},
 		"poor, cap reached":         {0, Outcome{Rating: 0.1, Spent: 2200}, Decision{Accept, ReasonSpendCap}},
 		"poor, no time":             {0, Outcome{Rating: 0.1, NoTime: true}, Decision{Accept, ReasonNoTime}},
 		"failed step":               {0, Outcome{Err: errTest}, Decision{Escalate, ReasonStepFailed}},
@@ -134,10 +134,10 @@
 	}
 }
 
-// The rating service goes down under traffic. The caller of a request that can't
-// be rated must not pay for a cheap answer nobody can judge and then for the
-// best one: after three missing ratings plans have one streamed step, and one
-// request each RatingRetry finds out when ratings are back.
+// While the rating service is down, a caller must not pay for a cheap answer that
+// can't be rated and then for the best one. After three missing ratings, plans have
+// one streamed step, and one request in each RatingRetry interval probes the
+// service.
 func TestRatingDown(t *testing.T) {
 	l, a := NewLearner(exact()), account()
 	plan := func(now time.Time) Plan {
@@ -164,9 +164,9 @@
 	require.Len(t, plan(now).Steps, 3)
 }
 
-// Whatever the ratings, failures and caps, a request's steps never cost more than
-// its cap, only the last step streams, and every request ends in one accepted
-// answer or a failure.
+// For any ratings, failures and caps, the steps of a request never cost more than
+// its cap, only the last step is streamed, and a request has at most one accepted
+// answer.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, a, vs := NewLearner(DefaultSettings()), account(), versions()
@@ -182,7 +182,7 @@
 			answers, spent := 0, int64(0)
 			for i, s := range p.Steps {
 				require.Equal(t, i < len(p.Steps)-1, s.Buffered)
-				spent += s.spend(req.MaxTokens)
+				spent += s.maxSpend(req.MaxTokens)
 				o := Outcome{Rating: rng.Float64(), Spent: spent}
 				if rng.IntN(5) == 0 {
 					o.Err = errTest
@@ -194,7 +194,7 @@
 				if d.Action != Escalate {
 					break
 				}
-				require.Less(t, i, len(p.Steps)-1, "the last step has nothing to escalate to")
+				require.Less(t, i, len(p.Steps)-1, "the last step must not escalate")
 			}
 			require.LessOrEqual(t, answers, 1)
 			if a.SpendCap > 0 {
@@ -217,7 +217,8 @@
 	}
 }
 
-// BenchmarkMemory is what a Learner allocates for so many kinds of request.
+// BenchmarkMemory measures what a Learner allocates for a number of kinds of
+// request.
 func BenchmarkMemory(b *testing.B) {
 	for _, kinds := range []int{512, 2048, 8192} {
 		b.Run(fmt.Sprint("kinds=", kinds), func(b *testing.B) {
@@ -226,7 +227,7 @@
 				l := NewLearner(DefaultSettings())
 				for i := range kinds {
 					for _, version := range []string{"mini", "base"} {
-						l.learn(key{account: "cluj", label: fmt.Sprint(i)}, version, true)
+						l.learn(requestKind{account: "cluj", label: fmt.Sprint(i)}, version, true)
 					}
 				}
 			}
--- a/policy/cascade/doc.go
+++ b/policy/cascade/doc.go
@@ -1,17 +1,17 @@
-// Package cascade decides on which model versions a request is tried, cheapest
-// first, and whether an answer is good enough for the account's quality target.
+// Package cascade chooses the model versions that a request is tried on, cheapest
+// first, and decides whether an answer reaches the account's quality target.
 //
-// Load pattern: many requests that a cheap version answers well, mixed with some
-// that only the best one does, and a rating service that is at times slow or down.
-// Without it every request pays the best version's price, or every answer has
-// the cheap one's quality.
+// It serves a mix of requests: a cheap version answers many of them well, others
+// need the best version, and the rating service is slow or down at times. Without
+// the package, every request would cost as much as the best version, or every
+// answer would have the quality of the cheapest one.
 //
-// Nothing of a discarded answer may reach the caller. A step that may still be
-// discarded is therefore buffered until Judge accepts it: the caller's first
-// token waits for the whole cheap answer and its rating. A plan's last step
-// can't be discarded and streams. Requests that can't bear the wait
-// (config.ClassImmediate), that may run only once, or whose session is pinned
-// to a version get a plan of one step.
+// No part of a discarded answer may reach the caller. The answer of a step that may
+// still be discarded is therefore buffered until it is accepted, so the caller's
+// first token waits for the whole answer and its rating. The answer of a plan's
+// last step can't be discarded and is streamed. A request gets a plan of one step
+// if its class does not tolerate the wait (config.ClassImmediate), if it may run
+// only once, or if its session is pinned to a version.
 //
 // The package uses no network and no clock: time and randomness are arguments.
 //
--- a/policy/cascade/judge.go
+++ b/policy/cascade/judge.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Action is what to do after a step.
+// Action says how a request proceeds after a step.
 type Action int
 
 // The actions.
 const (
-	// Accept: the step's answer goes to the caller.
+	// Accept sends the step's answer to the caller.
 	Accept Action = iota
-	// Escalate: the answer is discarded, the next step runs.
+	// Escalate discards the answer and runs the next step.
 	Escalate
-	// Fail: there is no answer and no further step.
+	// Fail ends the request: there is no answer and no further step.
 	Fail
 )
 
-// String gives the action as a metric label.
+// String returns the action as a metric label.
 func (a Action) String() string {
 	switch a {
 	case Accept:
@@ -28,40 +28,45 @@
 	return "unknown"
 }
 
-// Outcome is what is known when a step has ended.
+// Outcome describes a step that has ended.
 type Outcome struct {
-	// Err is the step's own failure; there is then no answer.
+	// Err is the error of the step itself. A step with an error has no answer.
 	Err error
-	// Rating is the rating service's value, 0..1, when RatingErr is nil.
+	// Rating is the rating service's value, from 0 to 1. It is valid if RatingErr
+	// is nil.
 	Rating float64
-	// RatingErr is a rating that failed or missed Settings.RatingTimeout.
+	// RatingErr is set if the rating failed or took longer than
+	// Settings.RatingTimeout.
 	RatingErr error
-	// Spent is what the request's steps have cost so far, in micro-units.
+	// Spent is the cost of the request's steps so far, in micro-units.
 	Spent int64
-	// NoTime says that the deadline leaves no room for another step.
+	// NoTime says that the deadline leaves no time for another step.
 	NoTime bool
 }
 
-// Decision is the judgement of one step.
+// Decision is the action after a step, with its reason.
 type Decision struct {
 	Action Action
 	Reason Reason
 }
 
-// NeedsRating says whether Judge wants a rating of step i: only an answer that may be discarded is rated.
+// NeedsRating reports whether the answer of step i must be rated. Only answers that
+// may be discarded are rated.
 func (p Plan) NeedsRating(i int) bool { return p.Steps[i].Buffered }
 
-// Judge decides on the answer of step i, and learns from its rating.
+// Judge decides whether the answer of step i is accepted, and updates the
+// acceptance rates from its rating.
 //
-// Fallback without a rating: the answer is accepted where nine in ten of this
-// version's answers to this kind of request are expected to reach the target
-// (learnt while ratings came, else by the configured quality), and escalated
-// otherwise. The target is what the account was promised; cost is bounded by the
-// spend cap, and after a few missing ratings Plan stops trying what it can't judge.
+// Without a rating, the answer is accepted if a share GoodShare of this version's
+// answers to this kind of request is expected to reach the target, and discarded
+// otherwise. The expectation comes from earlier ratings, or from the configured
+// quality while there are few ratings. The target is the quality that the account
+// was promised, and the spend cap bounds the cost. After a few missing ratings,
+// Plan no longer includes steps that can't be rated.
 func (l *Learner) Judge(p Plan, i int, o Outcome, now time.Time) Decision {
 	last := i == len(p.Steps)-1
 	if o.Err != nil {
-		if last || !p.affords(i+1, o.Spent) || o.NoTime {
+		if last || !p.fitsSpendCap(i+1, o.Spent) || o.NoTime {
 			return Decision{Fail, ReasonStepFailed}
 		}
 		return Decision{Escalate, ReasonStepFailed}
@@ -69,11 +74,11 @@
 	if last {
 		return Decision{Accept, ReasonLastStep}
 	}
-	good, reason := l.goodEnough(p, i, o, now)
+	good, reason := l.acceptable(p, i, o, now)
 	switch {
 	case good:
 		return Decision{Accept, reason}
-	case !p.affords(i+1, o.Spent):
+	case !p.fitsSpendCap(i+1, o.Spent):
 		return Decision{Accept, ReasonSpendCap}
 	case o.NoTime:
 		return Decision{Accept, ReasonNoTime}
@@ -81,24 +86,26 @@
 	return Decision{Escalate, reason}
 }
 
-func (l *Learner) goodEnough(p Plan, i int, o Outcome, now time.Time) (bool, Reason) {
+// acceptable reports whether the answer of step i may go to the caller, and the
+// reason.
+func (l *Learner) acceptable(p Plan, i int, o Outcome, now time.Time) (bool, Reason) {
 	step := p.Steps[i]
-	l.noteRating(o.RatingErr == nil, now)
+	l.recordRatingResult(o.RatingErr == nil, now)
 	if o.RatingErr != nil {
-		if l.expectedGood(p.key, p.Target, step) {
+		if l.expectedGood(p.kind, p.Target, step) {
 			return true, ReasonExpectedGood
 		}
 		return false, ReasonExpectedPoor
 	}
 	good := o.Rating >= p.Target+l.settings.Margin
-	l.learn(p.key, step.Version, good)
+	l.learn(p.kind, step.Version, good)
 	if good {
 		return true, ReasonRated
 	}
 	return false, ReasonRatedPoor
 }
 
-// affords says whether step i fits the cap after spent micro-units.
-func (p Plan) affords(i int, spent int64) bool {
-	return p.spendCap == 0 || spent+p.Steps[i].spend(p.maxTokens) <= p.spendCap
+// fitsSpendCap reports whether step i fits the spend cap after spent micro-units.
+func (p Plan) fitsSpendCap(i int, spent int64) bool {
+	return p.spendCap == 0 || spent+p.Steps[i].maxSpend(p.maxTokens) <= p.spendCap
 }
--- a/policy/cascade/plan.go
+++ b/policy/cascade/plan.go
@@ -8,37 +8,41 @@
 	"goldcrestfork/config"
 )
 
-// maxChain bounds the versions of one chain; links that form a cycle end there too.
-// Grounds: each further try adds one whole answer's latency, and with prices that
-// differ by a factor of four or so a fourth try no longer saves anything.
-const maxChain = 4
+// maxChainLength bounds the number of versions in a chain. Each further step adds
+// the latency of a whole answer, and with prices that differ by a factor of about
+// four, a fourth step no longer saves cost.
+const maxChainLength = 4
 
-// Errors of a plan. Both are found before anything was sent, so "not run" is true.
+// These errors of Plan are found before a request is sent, so the response may
+// state that the request did not run.
 var (
-	// ErrNoVersion: the account may use no serving version of the chain.
+	// ErrNoVersion says that the account may use no serving version of the chain.
 	ErrNoVersion = errors.New("no allowed version serves")
-	// ErrSpendCap: no version of the chain fits the account's spend cap.
+	// ErrSpendCap says that no version of the chain fits the account's spend cap.
 	ErrSpendCap = errors.New("no version fits the spend cap")
 )
 
-// Request is what a plan depends on.
+// Request holds the properties of a request that its plan depends on.
 type Request struct {
-	// Label is the caller's task label; empty is a label of its own.
+	// Label is the caller's task label. Requests without a label form a group of
+	// their own.
 	Label string
 	// PromptTokens is the size of the prompt, in tokens.
 	PromptTokens int
-	// MaxTokens bounds the answer, in tokens; the spend cap is checked against it.
+	// MaxTokens bounds the answer, in tokens. The spend cap is checked against this
+	// bound.
 	MaxTokens int
-	// Class is the priority class in force for the request.
+	// Class is the priority class that applies to the request.
 	Class config.Class
-	// Repeatable says that the request may run more than once. The zero value
-	// gives one step, so that a forgotten field never doubles an action.
+	// Repeatable says that the request may run more than once. The zero value leads
+	// to a plan of one step, so that a caller who forgets the field never runs an
+	// action twice.
 	Repeatable bool
-	// Pinned says that a session keeps the chain's first version.
+	// Pinned says that a session is bound to the chain's first version.
 	Pinned bool
 }
 
-// Reason tells why a plan or a decision came out as it did; it is a metric label.
+// Reason says why a plan or a decision was made. It is a metric label.
 type Reason string
 
 // The reasons.
@@ -59,7 +63,7 @@
 	ReasonStepFailed   Reason = "step failed"
 )
 
-// Step is one try.
+// Step is one attempt of a plan, on one model version.
 type Step struct {
 	// Version is the model version's name.
 	Version string
@@ -67,33 +71,36 @@
 	Cost int64
 	// Expected is the version's configured quality, 0..1.
 	Expected float64
-	// Buffered says that the answer is held back until Judge accepts it.
+	// Buffered says that the answer is withheld from the caller until it is
+	// accepted.
 	Buffered bool
 }
 
-// spend is what the step costs at most, in micro-units, rounded up.
-func (s Step) spend(tokens int) int64 { return (s.Cost*int64(tokens) + 999) / 1000 }
+// maxSpend returns the maximum cost of the step in micro-units, rounded up.
+func (s Step) maxSpend(tokens int) int64 { return (s.Cost*int64(tokens) + 999) / 1000 }
 
-// Plan is the tries of one request in their order.
+// Plan is the sequence of steps for one request.
 type Plan struct {
+	// Steps are the attempts in their order. The last one is streamed.
 	Steps []Step
-	// Reason tells why these steps.
+	// Reason says why these steps were chosen.
 	Reason Reason
 	// Target is the account's quality target.
 	Target float64
 
-	key       key
+	kind      requestKind
 	spendCap  int64
 	maxTokens int
 }
 
-// Chain follows the Cascade links from the version named start and returns the
-// serving, allowed ones, in the order of the links. A link to a withdrawn or
-// forbidden version is followed but not taken.
+// Chain follows the Cascade links from the version named start, and returns the
+// serving and allowed versions in the order of the links. A withdrawn or forbidden
+// version is left out, but its link is followed. Links that form a cycle end the
+// chain at the first repeated version.
 func Chain(versions map[string]*config.ModelVersion, account *config.ClientAccount, start string) []*config.ModelVersion {
-	chain := make([]*config.ModelVersion, 0, maxChain)
-	seen := make(map[string]bool, maxChain)
-	for name := start; name != "" && !seen[name] && len(chain) < maxChain; {
+	chain := make([]*config.ModelVersion, 0, maxChainLength)
+	seen := make(map[string]bool, maxChainLength)
+	for name := start; name != "" && !seen[name] && len(chain) < maxChainLength; {
 		seen[name] = true
 		v, ok := versions[name]
 		if !ok {
@@ -107,8 +114,10 @@
 	return chain
 }
 
-// Plan decides the tries of a request on a chain (see Chain). now is the caller's
-// monotonic time, rng its seeded source.
+// Plan chooses the steps of a request on a chain of versions (see Chain). The
+// argument now is the caller's monotonic time, and rng its seeded random source.
+// Plan returns ErrNoVersion for an empty chain, and ErrSpendCap if no version fits
+// the account's spend cap.
 func (l *Learner) Plan(account *config.ClientAccount, chain []*config.ModelVersion, req Request, now time.Time, rng *rand.Rand) (Plan, error) {
 	if len(chain) == 0 {
 		return Plan{}, ErrNoVersion
@@ -116,7 +125,7 @@
 	plan := Plan{
 		Target:    account.Quality,
 		Reason:    ReasonOnlyStep,
-		key:       keyOf(account.Name, req),
+		kind:      kindOf(account.Name, req),
 		spendCap:  account.SpendCap,
 		maxTokens: req.MaxTokens,
 	}
@@ -128,32 +137,32 @@
 	if len(steps) == 0 {
 		return Plan{}, ErrSpendCap
 	}
-	plan.Steps, plan.Reason = l.choose(plan.key, account.Quality, steps, req, now, rng)
+	plan.Steps, plan.Reason = l.choose(plan.kind, account.Quality, steps, req, now, rng)
 	for i := range plan.Steps {
 		plan.Steps[i].Buffered = i < len(plan.Steps)-1
 	}
 	return plan, nil
 }
 
-// choose picks the steps to try out of the affordable ones.
-func (l *Learner) choose(k key, target float64, steps []Step, req Request, now time.Time, rng *rand.Rand) ([]Step, Reason) {
+// choose selects the steps of a plan from the affordable ones.
+func (l *Learner) choose(k requestKind, target float64, steps []Step, req Request, now time.Time, rng *rand.Rand) ([]Step, Reason) {
 	switch {
 	case len(steps) == 1:
 		return steps, ReasonOnlyStep
 	case !req.Repeatable:
-		return l.single(k, target, steps), ReasonOnlyStep
+		return l.singleStep(k, target, steps), ReasonOnlyStep
 	case req.Class == config.ClassImmediate:
-		return l.single(k, target, steps), ReasonImmediate
+		return l.singleStep(k, target, steps), ReasonImmediate
 	case !l.ratingUsable(now):
-		return l.single(k, target, steps), ReasonRatingDown
-	case rng.Float64() < l.settings.Explore:
+		return l.singleStep(k, target, steps), ReasonRatingDown
+	case rng.Float64() < l.settings.ExploreShare:
 		return steps, ReasonExplore
 	}
-	tries := l.cheapest(k, steps)
-	if len(tries) == 1 {
-		return tries, ReasonDirect
+	chosen := l.cheapestSteps(k, steps)
+	if len(chosen) == 1 {
+		return chosen, ReasonDirect
 	}
-	return tries, ReasonCheapFirst
+	return chosen, ReasonCheapFirst
 }
 
 func stepsOf(chain []*config.ModelVersion) []Step {
@@ -164,26 +173,26 @@
 	return steps
 }
 
-// affordable keeps the best last step that fits the cap by itself and the
-// earlier tries that fit beside it. Without the second rule a cheap try could
-// use up the cap and leave the caller with an answer below target that the
-// account had the money to avoid.
+// affordable keeps the best last step that fits the cap by itself, and the earlier
+// steps that fit in addition to it. Otherwise a cheap step could use up the cap,
+// and the caller would get an answer below the target although the cap covers a
+// better one.
 func affordable(steps []Step, spendCap int64, tokens int) []Step {
 	if spendCap == 0 {
 		return steps
 	}
 	last := len(steps) - 1
-	for last >= 0 && steps[last].spend(tokens) > spendCap {
+	for last >= 0 && steps[last].maxSpend(tokens) > spendCap {
 		last--
 	}
 	if last < 0 {
 		return nil
 	}
-	left := spendCap - steps[last].spend(tokens)
+	remaining := spendCap - steps[last].maxSpend(tokens)
 	kept := make([]Step, 0, last+1)
 	for _, s := range steps[:last] {
-		if s.spend(tokens) <= left {
-			left -= s.spend(tokens)
+		if s.maxSpend(tokens) <= remaining {
+			remaining -= s.maxSpend(tokens)
 			kept = append(kept, s)
 		}
 	}
--- a/policy/cascade/rating.go
+++ b/policy/cascade/rating.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// ratingUsable says whether a plan may rely on a rating. While the service
-// counts as down, one request each RatingRetry is let through to try it.
-// Without this every request would pay the cheap try, wait out the rating's
-// timeout and then pay the best version too.
+// ratingUsable reports whether a plan may rely on ratings. While the rating service
+// counts as down, one request in each RatingRetry interval probes it. Otherwise
+// every request would pay for the cheap version, wait for the rating's timeout and
+// then pay for the best version as well.
 func (l *Learner) ratingUsable(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.failures < l.settings.RatingFailures {
+	if l.missedRatings < l.settings.RatingFailures {
 		return true
 	}
 	if now.Before(l.retryAt) {
@@ -23,33 +23,36 @@
 	return true
 }
 
-// noteRating records whether a rating came in time.
-func (l *Learner) noteRating(ok bool, now time.Time) {
+// recordRatingResult records whether a rating arrived in time.
+func (l *Learner) recordRatingResult(ok bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ok {
-		l.failures = 0
+		l.missedRatings = 0
 		return
 	}
-	l.failures++
-	if l.failures == l.settings.RatingFailures {
+	l.missedRatings++
+	if l.missedRatings == l.settings.RatingFailures {
 		l.retryAt = now.Add(l.settings.RatingRetry)
 	}
 }
 
-// Dump is a Learner's part of the state dump.
+// Dump is the part of the state dump that describes a Learner.
 type Dump struct {
-	// Kinds is the number of kinds of request remembered.
+	// Kinds is the number of remembered kinds of request.
 	Kinds int `json:"kinds"`
-	// RatingDown says why plans have one step: ratings are missing.
+	// RatingDown says that the rating service counts as down, so that plans have
+	// one step.
 	RatingDown bool `json:"ratingDown"`
-	// RatingFailures is the number of ratings missed in a row.
+	// RatingFailures is the number of consecutive missing ratings.
 	RatingFailures int `json:"ratingFailures"`
-	// Acceptance is the learnt share of answers good enough, by account, label, size and version.
+	// Acceptance is the observed share of good answers by account, label, size and
+	// version.
 	Acceptance []Acceptance `json:"acceptance"`
 }
 
-// Acceptance is one learnt rate.
+// Acceptance is the observed rate of one version on one kind of request. Size is
+// the size bucket of the prompt, and Rated the weight of the ratings behind Rate.
 type Acceptance struct {
 	Account string  `json:"account"`
 	Label   string  `json:"label"`
@@ -59,26 +62,26 @@
 	Rate    float64 `json:"rate"`
 }
 
-// maxDump bounds the rates in a dump, so that it stays readable.
-const maxDump = 200
+// maxDumpedKinds bounds the number of kinds in a dump, so that it stays readable.
+const maxDumpedKinds = 200
 
-// Dump returns what the Learner knows; the kinds used last come last.
+// Dump returns the state of the Learner. The most recently used kinds come last.
 func (l *Learner) Dump() Dump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := Dump{
-		Kinds:          l.records.Len(),
-		RatingDown:     l.failures >= l.settings.RatingFailures,
-		RatingFailures: l.failures,
+		Kinds:          l.stats.Len(),
+		RatingDown:     l.missedRatings >= l.settings.RatingFailures,
+		RatingFailures: l.missedRatings,
 	}
-	keys := l.records.Keys()
-	for _, k := range keys[max(0, len(keys)-maxDump):] {
-		versions, _ := l.records.Peek(k)
+	keys := l.stats.Keys()
+	for _, k := range keys[max(0, len(keys)-maxDumpedKinds):] {
+		versions, _ := l.stats.Peek(k)
 		for _, name := range slices.Sorted(maps.Keys(versions)) {
 			r := versions[name]
 			d.Acceptance = append(d.Acceptance, Acceptance{
 				Account: k.account, Label: k.label, Size: k.size,
-				Version: name, Rated: r.rated, Rate: r.acceptance(),
+				Version: name, Rated: r.rated, Rate: r.acceptanceRate(),
 			})
 		}
 	}
--- a/policy/versiontest/cascade.go
+++ b/policy/versiontest/cascade.go
@@ -75,7 +75,7 @@
 // Strategies are the baselines, the cascade and its parts taken out.
 func Strategies() []Strategy {
 	never := cascade.DefaultSettings()
-	never.Keys, never.Explore = 1, 1 // explores always: the whole chain each time
+	never.MaxKinds, never.ExploreShare = 1, 1 // explores always: the whole chain each time
 	plain := cascade.DefaultSettings()
 	plain.Margin = 0
 	learner := func(s cascade.Settings) *cascade.Learner { return cascade.NewLearner(s) }
