--- a/policy/loadtest/attempt.go
+++ b/policy/loadtest/attempt.go
@@ -11,45 +11,46 @@
 	"goldcrestfork/policy/retry"
 )
 
-// attempt is one dispatch of a call.
+// attempt is one dispatch of a call to an endpoint.
 type attempt struct {
-	call     *call
-	endpoint *picker.Endpoint
-	engine   *engine
-	job      *job
-	began    time.Time
-	pick     picker.Request // as it was picked, for Done
+	call      *call
+	endpoint  *picker.Endpoint
+	engine    *engine
+	job       *job
+	startedAt time.Time
+	pick      picker.Request // copy from the time of the pick, for Table.Done
 }
 
-// attempt makes one dispatch of the call.
+// attempt dispatches the call to an endpoint, and returns false if no endpoint has
+// room.
 func (v *vm) attempt(c *call) bool {
 	now := v.run.loop.now
-	if v.mods.Poison {
-		c.pick.Suspect = v.poison.Suspect(now, c.print)
+	if v.modules.Poison {
+		c.pick.Suspect = v.poison.Suspect(now, c.fingerprint)
 	}
 	e, miss := v.choose(now, c)
 	if miss != picker.Picked {
 		return false
 	}
-	c.made++
-	if c.made == 1 {
-		v.run.res.firsts += c.req.estimate
+	c.attempts++
+	if c.attempts == 1 {
+		v.run.result.firstWork += c.req.estimate
 		v.budget.First(c.item.Account, c.req.estimate)
 	} else {
-		v.run.res.again += c.req.estimate
+		v.run.result.repeatedWork += c.req.estimate
 	}
-	a := &attempt{call: c, endpoint: e, engine: v.run.engines[e.Name], began: now, pick: c.pick}
-	c.live = append(c.live, a)
+	a := &attempt{call: c, endpoint: e, engine: v.run.engines[e.Name], startedAt: now, pick: c.pick}
+	c.active = append(c.active, a)
 	v.running[e.Name][c] = true
-	a.job = a.engine.submit(c.req, func(end answer) { v.answered(a, end) })
-	if v.mods.Hedge && len(c.live) == 1 && c.req.idempotent {
+	a.job = a.engine.submit(c.req, func(end attemptOutcome) { v.attemptEnded(a, end) })
+	if v.modules.Hedge && len(c.active) == 1 && c.req.idempotent {
 		after := retry.HedgeAfter(v.expected(c), c.req.deadline.Sub(now))
 		v.run.loop.after(after, func() { v.hedge(a) })
 	}
 	return true
 }
 
-// expected is how long an attempt of the call takes.
+// expected returns the expected duration of an attempt of the call.
 func (v *vm) expected(c *call) time.Duration {
 	if q, ok := v.queue.(*admission.Queue); ok {
 		return q.Expected(c.req.estimate)
@@ -57,124 +58,129 @@
 	return time.Duration(c.req.estimate * (1 + batchCost) * float64(time.Second))
 }
 
-// hedge starts a second attempt beside a slow one, if the budget has it.
+// hedge starts a second attempt in parallel to a slow one if the budget allows it.
 func (v *vm) hedge(slow *attempt) {
 	c := slow.call
-	if c.over || len(c.live) != 1 || c.live[0] != slow {
+	if c.ended || len(c.active) != 1 || c.active[0] != slow {
 		return
 	}
 	c.pick.Exclude = append(c.pick.Exclude, slow.endpoint.Name)
-	d := v.budget.Decide(v.run.loop.now, v.rng, v.ask(c, true))
+	d := v.budget.Decide(v.run.loop.now, v.rng, v.retryAttempt(c, true))
 	if d.Again {
 		v.attempt(c)
 	}
 }
 
-func (v *vm) ask(c *call, hedge bool) retry.Attempt {
+// retryAttempt returns the description of the call that the retry budget decides
+// on.
+func (v *vm) retryAttempt(c *call, hedge bool) retry.Attempt {
 	return retry.Attempt{
-		Account: c.item.Account, Idempotent: c.req.idempotent, Made: c.made, Size: c.req.estimate,
+		Account: c.item.Account, Idempotent: c.req.idempotent, Made: c.attempts, Size: c.req.estimate,
 		Deadline: c.req.deadline, Expected: v.expected(c), Hedge: hedge,
 	}
 }
 
-// answered takes an attempt's end.
-func (v *vm) answered(a *attempt, end answer) {
+// attemptEnded handles the end of an attempt: it completes the call, retries it or
+// fails it.
+func (v *vm) attemptEnded(a *attempt, end attemptOutcome) {
 	c := a.call
-	if c.over {
-		return // the caller hung up, and the slot was given back then
+	if c.ended {
+		return // the caller hung up, and hangUp released the slot
 	}
 	v.release(a, end)
 	switch {
 	case end == answered:
-		elapsed := v.run.loop.now.Sub(a.began)
-		v.cut(c)
+		elapsed := v.run.loop.now.Sub(a.startedAt)
+		v.cancelAttempts(c)
 		v.finish(c, elapsed)
 		v.run.completed(c)
-	case len(c.live) > 0:
-		// The other attempt goes on.
+	case len(c.active) > 0:
+		// Another attempt of the call is still running.
 	case v.retry(c, a):
 	default:
 		v.finish(c, 0)
 		v.run.failed(c)
 	}
-	v.settle()
+	v.dispatchQueued()
 }
 
-// release gives the endpoint's slot back and lets the modules learn.
-func (v *vm) release(a *attempt, end answer) {
+// release frees the endpoint's slot and updates the modules with the result.
+func (v *vm) release(a *attempt, end attemptOutcome) {
 	now, c, name := v.run.loop.now, a.call, a.endpoint.Name
-	c.live = slices.DeleteFunc(c.live, func(x *attempt) bool { return x == a })
+	c.active = slices.DeleteFunc(c.active, func(x *attempt) bool { return x == a })
 	delete(v.running[name], c)
-	latency := now.Sub(a.began)
+	latency := now.Sub(a.startedAt)
 	size := c.req.size
-	if a.job.hit {
-		size *= 1 - prefill
+	if a.job.prefixCached {
+		size *= 1 - cachedPrefixSaving
 	}
 	v.table.Done(now, a.endpoint, &a.pick, limit.Sample{
 		Latency: latency, Size: size, Refused: end == full, Failed: end == failed || end == crashed,
 	})
-	if end == answered && a.job.hit {
+	if end == answered && a.job.prefixCached {
 		v.table.Cached(a.endpoint, &a.pick, len(a.pick.Prefix))
 	}
-	if end == answered && v.mods.Poison {
-		v.poison.Survived(c.print)
+	if end == answered && v.modules.Poison {
+		v.poison.Survived(c.fingerprint)
 	}
 	if end != full {
-		v.learn(outlier.Result{Endpoint: name, Failed: end != answered})
+		v.recordOutlier(outlier.Result{Endpoint: name, Failed: end != answered})
 	}
 }
 
-// cut cancels the attempts that still run.
-func (v *vm) cut(c *call) {
+// cancelAttempts cancels the attempts of a call that still run.
+func (v *vm) cancelAttempts(c *call) {
 	now := v.run.loop.now
-	for _, a := range c.live {
+	for _, a := range c.active {
 		a.engine.cancel(a.job)
 		delete(v.running[a.endpoint.Name], c)
 		v.table.Done(now, a.endpoint, &a.pick, limit.Sample{Failed: true})
 	}
-	c.live = nil
+	c.active = nil
 }
 
-func (v *vm) learn(result outlier.Result) {
-	if !v.mods.Outlier {
+// recordOutlier records an attempt's result for the detection of outliers.
+func (v *vm) recordOutlier(result outlier.Result) {
+	if !v.modules.Outlier {
 		return
 	}
 	if change, ok := v.outlier.Record(v.run.loop.now, result); ok {
-		v.apply(change)
+		v.applyEjection(change)
 	}
 }
 
-func (v *vm) apply(change outlier.Change) {
+// applyEjection applies a change of an endpoint's outlier state to the table.
+func (v *vm) applyEjection(change outlier.Change) {
 	v.table.Update(change.Endpoint, func(s *picker.State) {
 		s.Ejected = change.State == outlier.Ejected
 		s.Probation = change.State == outlier.Probation
 	})
 }
 
-// retry decides on another attempt and makes it.
+// retry decides whether the call gets another attempt, and schedules it.
 func (v *vm) retry(c *call, last *attempt) bool {
 	now := v.run.loop.now
 	c.pick.Exclude = append(c.pick.Exclude, last.endpoint.Name)
 	var after time.Duration
 	switch {
-	case v.mods.Retry:
-		d := v.budget.Decide(now, v.rng, v.ask(c, false))
+	case v.modules.Retry:
+		d := v.budget.Decide(now, v.rng, v.retryAttempt(c, false))
 		if !d.Again {
 			return false
 		}
 		after = d.After
-	case !c.req.idempotent || c.made >= retry.MaxAttempts:
+	case !c.req.idempotent || c.attempts >= retry.MaxAttempts:
 		return false
 	}
-	if v.mods.Poison && v.poison.Quarantined(now, c.print) {
+	if v.modules.Poison && v.poison.Quarantined(now, c.fingerprint) {
 		return false
 	}
 	v.run.loop.after(after, func() {
-		if c.over {
+		if c.ended {
 			return
 		}
 		v.dispatch(c)
-		v.settle()
+		v.dispatchQueued()
 	})
 	return true
 }
--- a/policy/loadtest/callers.go
+++ b/policy/loadtest/callers.go
@@ -4,153 +4,167 @@
 	"time"
 )
 
-// addCallers lets each account send at its rate.
-func (r *run) addCallers() {
+// startCallers starts the request stream of each account, at a rate that offers the
+// scenario's load.
+func (r *run) startCallers() {
 	total := 0.0
 	for _, w := range accountWeights {
 		total += w
 	}
-	size := r.w.meanSize() * (1 + r.s.LongShare*(longJob-1))
-	all := r.s.Load * r.res.capacity / size
+	size := r.workload.meanSize() * (1 + r.scenario.LongShare*(longSizeFactor-1))
+	all := r.scenario.Load * r.result.capacity / size
 	for account, weight := range accountWeights {
-		r.nextFrom(r.gens[account], all*weight/total*r.s.maxRate(account))
+		r.scheduleNextRequest(r.generators[account], all*weight/total*r.scenario.maxRateFactor(account))
 	}
 }
 
-// nextFrom plans the account's next request at the highest rate it ever has; at
-// other times the surplus is thinned out.
-func (r *run) nextFrom(g *generator, rate float64) {
+// scheduleNextRequest schedules the account's next request at the account's maximum
+// rate. While the actual rate is lower, requests are dropped at random in
+// proportion (thinning of a Poisson process).
+func (r *run) scheduleNextRequest(g *generator, rate float64) {
 	r.loop.after(g.interval(rate), func() {
-		at := r.loop.since()
-		if at >= r.s.Length {
+		at := r.loop.elapsed()
+		if at >= r.scenario.Length {
 			return
 		}
-		q := g.make()
-		if g.rng.Float64() < r.s.rate(g.account, at)/r.s.maxRate(g.account) {
-			r.sendFirst(q)
+		q := g.newRequest()
+		if g.rng.Float64() < r.scenario.rateFactor(g.account, at)/r.scenario.maxRateFactor(g.account) {
+			r.sendNew(q)
 		}
-		r.nextFrom(g, rate)
+		r.scheduleNextRequest(g, rate)
 	})
 }
 
-func (r *run) sendFirst(q *request) {
+// sendNew sends a request for the first time and counts it as offered.
+func (r *run) sendNew(q *request) {
 	q.first = r.loop.now
-	r.res.sent(r.loop.since(), q)
+	r.result.sent(r.loop.elapsed(), q)
 	r.send(q)
 }
 
-// send makes one try: the caller waits for its patience and then hangs up.
+// send makes one try of a request. The caller hangs up when its patience has
+// passed.
 func (r *run) send(q *request) {
-	r.open++
+	r.pendingTries++
 	q.tries++
 	q.sent = r.loop.now
 	q.deadline = q.sent.Add(q.patience)
-	v := r.vms[r.callers.IntN(len(r.vms))]
-	c := v.arrive(q)
-	if !c.over {
-		r.loop.at(q.deadline, func() { v.hangUp(c) })
+	v := r.vms[r.callerRand.IntN(len(r.vms))]
+	c := v.receive(q)
+	if !c.ended {
+		r.loop.schedule(q.deadline, func() { v.hangUp(c) })
 	}
 }
 
+// completed records a call that was answered.
 func (r *run) completed(c *call) {
-	r.open--
+	r.pendingTries--
 	if c.req.poison {
 		return
 	}
-	r.res.completed(r.loop.now, c.req)
+	r.result.completed(r.loop.now, c.req)
 }
 
+// refused records a refusal; the caller may send the request again after the given
+// time.
 func (r *run) refused(c *call, after time.Duration) {
-	r.open--
-	c.over = true
+	r.pendingTries--
+	c.ended = true
 	if c.req.poison {
-		r.again(c.req, poisonPause)
+		r.scheduleResend(c.req, poisonResendDelay)
 		return
 	}
-	r.res.refused(r.loop.now, c.req)
-	r.again(c.req, after)
+	r.result.refused(r.loop.now, c.req)
+	r.scheduleResend(c.req, after)
 }
 
-// quarantined refuses for good: its caller is told not to come back, and a poison
-// request's does so all the same.
+// quarantined records a permanent refusal, after which callers don't send the
+// request again. The caller of a poison request ignores the refusal and sends
+// again.
 func (r *run) quarantined(c *call) {
-	r.open--
-	c.over = true
+	r.pendingTries--
+	c.ended = true
 	if c.req.poison {
-		r.again(c.req, poisonPause)
+		r.scheduleResend(c.req, poisonResendDelay)
 		return
 	}
-	r.res.refused(r.loop.now, c.req)
+	r.result.refused(r.loop.now, c.req)
 }
 
-func (r *run) failed(c *call) { r.lost(c, func(t *Tally) { t.Failed++ }) }
+// failed records a call that ended with an error.
+func (r *run) failed(c *call) { r.unanswered(c, func(t *Tally) { t.Failed++ }) }
 
-func (r *run) timedOut(c *call) { r.lost(c, func(t *Tally) { t.TimedOut++ }) }
+// timedOut records a call without an answer by its deadline.
+func (r *run) timedOut(c *call) { r.unanswered(c, func(t *Tally) { t.TimedOut++ }) }
 
-// lost counts a call without an answer; its caller sends it again if it may.
-func (r *run) lost(c *call, count func(*Tally)) {
-	r.open--
+// unanswered records a call without an answer. The caller sends an idempotent
+// request again.
+func (r *run) unanswered(c *call, count func(*Tally)) {
+	r.pendingTries--
 	if c.req.poison {
-		r.again(c.req, poisonPause)
+		r.scheduleResend(c.req, poisonResendDelay)
 		return
 	}
-	for _, t := range r.res.tallies(c.req) {
+	for _, t := range r.result.tallies(c.req) {
 		count(t)
 	}
 	if c.req.idempotent {
-		r.again(c.req, resend)
+		r.scheduleResend(c.req, resendDelay)
 	}
 }
 
-// again lets the caller send its request once more, if it is one of those that do.
-func (r *run) again(q *request, after time.Duration) {
+// scheduleResend schedules another try of a request if its caller resends requests
+// and has tries left.
+func (r *run) scheduleResend(q *request, after time.Duration) {
 	limit := maxTries
 	if q.poison {
 		limit = poisonTries
-	} else if !q.returns {
+	} else if !q.resends {
 		return
 	}
 	if q.tries >= limit {
 		return
 	}
 	next := *q
-	next.id = q.id&firstID + uint64(q.tries)*(firstID+1)
-	r.open++
+	next.id = q.id&baseIDMask + uint64(q.tries)*(baseIDMask+1)
+	r.pendingTries++
 	r.loop.after(after, func() {
-		r.open--
+		r.pendingTries--
 		r.send(&next)
 	})
 }
 
-// addFaults plans what happens to the endpoints, and the poison requests.
-func (r *run) addFaults() {
-	for i, e := range r.order {
-		if i < r.s.Slow {
-			r.between(func() { e.setSpeed(0.1) }, func() { e.setSpeed(1) })
-		} else if i < r.s.Slow+r.s.Failing {
-			r.between(func() { e.failing = true }, func() { e.failing = false })
+// scheduleFaults schedules the endpoint faults and the poison requests of the
+// scenario.
+func (r *run) scheduleFaults() {
+	for i, e := range r.engineOrder {
+		if i < r.scenario.SlowEndpoints {
+			r.scheduleFault(func() { e.setSpeed(0.1) }, func() { e.setSpeed(1) })
+		} else if i < r.scenario.SlowEndpoints+r.scenario.FailingEndpoints {
+			r.scheduleFault(func() { e.failing = true }, func() { e.failing = false })
 		}
-		if r.s.PoolFailing {
-			r.between(func() { e.failing = true }, func() { e.failing = false })
+		if r.scenario.PoolFailing {
+			r.scheduleFault(func() { e.failing = true }, func() { e.failing = false })
 		}
-		if r.s.PoolDown {
-			r.loop.after(r.s.From, func() { e.crash(r.s.To - r.s.From) })
+		if r.scenario.PoolDown {
+			r.loop.after(r.scenario.From, func() { e.crash(r.scenario.To - r.scenario.From) })
 		}
-		if r.s.Cold {
-			r.loop.after(r.s.From, func() { e.crash(time.Millisecond) })
+		if r.scenario.PoolRestart {
+			r.loop.after(r.scenario.From, func() { e.crash(time.Millisecond) })
 		}
 	}
-	for range r.s.Poison {
-		r.loop.after(r.s.From, func() {
-			q := r.gens[poisonAccount].make()
+	for range r.scenario.PoisonRequests {
+		r.loop.after(r.scenario.From, func() {
+			q := r.generators[poisonAccount].newRequest()
 			q.poison, q.idempotent, q.long = true, true, false
-			q.size, q.estimate, q.patience = r.w.meanSize(), r.w.meanSize(), time.Minute
+			q.size, q.estimate, q.patience = r.workload.meanSize(), r.workload.meanSize(), time.Minute
 			r.send(q)
 		})
 	}
 }
 
-func (r *run) between(begin, end func()) {
-	r.loop.after(r.s.From, begin)
-	r.loop.after(r.s.To, end)
+// scheduleFault runs begin at the scenario's From and end at its To.
+func (r *run) scheduleFault(begin, end func()) {
+	r.loop.after(r.scenario.From, begin)
+	r.loop.after(r.scenario.To, end)
 }
--- a/policy/loadtest/cmd/decisions/columns.go
+++ b/policy/loadtest/cmd/decisions/columns.go
@@ -9,24 +9,25 @@
 
 type result = loadtest.Result
 
-// column is one figure of a row.
+// column is one value of a row.
 type column struct {
 	name  string
 	value func(*row, *result) string
 }
 
-// settle is how long after a change of load the figures of a phase start.
-const settle = 10 * time.Second
+// settleTime is the time after a change of load from which the values of a phase
+// are measured.
+const settleTime = 10 * time.Second
 
-// columns are the figures of a row. done, imm, int and def are the shares of
-// callers' requests that were completed in time, of all and by class; others leaves
-// the hot account out.
+// columns are the values of a row. The columns done, imm, int and def are the
+// shares of callers' requests that were completed in time, of all requests and by
+// class; others excludes the hot account.
 var columns = []column{
-	{"done%", func(_ *row, x *result) string { return percent(x.All.Share()) }},
-	{"imm%", func(_ *row, x *result) string { return percent(x.Classes[0].Share()) }},
-	{"int%", func(_ *row, x *result) string { return percent(x.Classes[1].Share()) }},
-	{"def%", func(_ *row, x *result) string { return percent(x.Classes[2].Share()) }},
-	{"others%", func(_ *row, x *result) string { return percent(x.Others.Share()) }},
+	{"done%", func(_ *row, x *result) string { return percent(x.All.CompletedShare()) }},
+	{"imm%", func(_ *row, x *result) string { return percent(x.Classes[0].CompletedShare()) }},
+	{"int%", func(_ *row, x *result) string { return percent(x.Classes[1].CompletedShare()) }},
+	{"def%", func(_ *row, x *result) string { return percent(x.Classes[2].CompletedShare()) }},
+	{"others%", func(_ *row, x *result) string { return percent(x.Others.CompletedShare()) }},
 	{"imm p50", func(_ *row, x *result) string { return short(x.Classes[0].Latency(50)) }},
 	{"others imm p99", func(_ *row, x *result) string { return short(x.OthersImmediate.Latency(99)) }},
 	{"others p99", func(_ *row, x *result) string { return short(x.Others.Latency(99)) }},
@@ -35,9 +36,9 @@
 	{"late", func(_ *row, x *result) string { return count(x.All.Late) }},
 	{"timeout", func(_ *row, x *result) string { return count(x.All.TimedOut) }},
 	{"failed", func(_ *row, x *result) string { return count(x.All.Failed) }},
-	{"wasted%", func(_ *row, x *result) string { return percent(x.Wasted()) }},
-	{"extra%", func(_ *row, x *result) string { return percent(x.Extra()) }},
-	{"hit%", func(_ *row, x *result) string { return percent(x.Hits()) }},
+	{"wasted%", func(_ *row, x *result) string { return percent(x.WastedWorkRatio()) }},
+	{"extra%", func(_ *row, x *result) string { return percent(x.RepeatedWorkRatio()) }},
+	{"hit%", func(_ *row, x *result) string { return percent(x.PrefixHitRatio()) }},
 	{"overshoot", func(_ *row, x *result) string { return count(x.Overshoot) }},
 	{"crashes", func(_ *row, x *result) string { return count(x.Crashes) }},
 	{"false", func(_ *row, x *result) string { return count(x.FalseQuarantines) }},
@@ -45,18 +46,20 @@
 	{"after%", after},
 }
 
-// goodput is the share of capacity that was completed in time while the load lasted.
+// goodput returns the work completed in time as a share of capacity, while the
+// surge or the fault lasts.
 func goodput(r *row, x *result) string {
-	from, to := r.scenario.From+settle, r.scenario.To
+	from, to := r.scenario.From+settleTime, r.scenario.To
 	if to <= from {
-		from, to = settle, r.scenario.Length
+		from, to = settleTime, r.scenario.Length
 	}
 	return percent(x.Goodput(from, to))
 }
 
-// after is the same from ten seconds after the end of the surge or the fault.
+// after returns the goodput from settleTime after the end of the surge or the
+// fault.
 func after(r *row, x *result) string {
-	from := r.scenario.To + settle
+	from := r.scenario.To + settleTime
 	if r.scenario.To == 0 || from >= r.scenario.Length {
 		return "-"
 	}
--- a/policy/loadtest/cmd/decisions/main.go
+++ b/policy/loadtest/cmd/decisions/main.go
@@ -1,6 +1,6 @@
-// Command decisions measures the decisions of policy under load and prints one
-// table: each load pattern with all modules, without each, and with none, at the
-// same seeds.
+// Command decisions measures the decisions of the policy packages under load. It
+// prints one table in which each load pattern is run with all modules, without
+// single modules, and with none, with the same seeds.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	Workers  int      `help:"Runs at once." default:"4"`
 }
 
-// row is one line of the table: a pattern and a variant at all seeds.
+// row is one line of the table: a pattern and a variant with all seeds.
 type row struct {
 	workload loadtest.Workload
 	scenario loadtest.Scenario
@@ -40,7 +40,7 @@
 	printTable(rows)
 }
 
-func wanted(names []string, name string) bool {
+func selected(names []string, name string) bool {
 	return len(names) == 0 || slices.Contains(names, name)
 }
 
@@ -49,7 +49,7 @@
 	for _, w := range []loadtest.Workload{loadtest.Cluj, loadtest.Norte} {
 		for _, s := range loadtest.Scenarios {
 			for _, v := range loadtest.Variants {
-				if wanted(o.Workload, w.Name) && wanted(o.Scenario, s.Name) && o.takes(s, v) {
+				if selected(o.Workload, w.Name) && selected(o.Scenario, s.Name) && o.selects(s, v) {
 					rows = append(rows, &row{w, s, v, make([]*loadtest.Result, len(o.Seed))})
 				}
 			}
@@ -58,23 +58,23 @@
 	return rows
 }
 
-// takes reports whether the variant is run for the pattern.
-func (o *options) takes(s loadtest.Scenario, v loadtest.Variant) bool {
+// selects reports whether the variant is run for the pattern.
+func (o *options) selects(s loadtest.Scenario, v loadtest.Variant) bool {
 	if o.Every || len(o.Variant) > 0 {
-		return wanted(o.Variant, v.Name)
+		return selected(o.Variant, v.Name)
 	}
-	return v.Name == "all" || v.Name == "none" || slices.Contains(s.About, v.Name)
+	return v.Name == "all" || v.Name == "none" || slices.Contains(s.RelevantVariants, v.Name)
 }
 
-// measure runs each row at each seed; a run is one goroutine's work.
+// measure runs each row with each seed. Each run uses one goroutine.
 func (o *options) measure(rows []*row) {
 	var wg sync.WaitGroup
-	free := make(chan struct{}, max(o.Workers, 1))
+	workerSlots := make(chan struct{}, max(o.Workers, 1))
 	for _, r := range rows {
 		for i, seed := range o.Seed {
-			free <- struct{}{}
+			workerSlots <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-free }()
+				defer func() { <-workerSlots }()
 				r.results[i] = loadtest.Run(r.workload, r.scenario, r.variant.Modules, seed)
 			})
 		}
--- a/policy/loadtest/engine.go
+++ b/policy/loadtest/engine.go
@@ -8,85 +8,93 @@
 )
 
 const (
-	// batchCost is by how much a request at full slots takes longer than alone: decode
-	// steps of a continuous batch grow with it, but slower than it.
+	// batchCost is the relative increase of a request's duration from an idle
+	// engine to full slots. The decode steps of a continuous batch take longer in a
+	// larger batch, but less than proportionally.
 	batchCost = 0.5
-	// coldSpeed is an engine's speed in cold start: it still loads and compiles.
+	// coldSpeed is an engine's relative speed in cold start, while it still loads
+	// and compiles.
 	coldSpeed = 0.5
-	// prefill is the part of a request's work that a cached prefix saves.
-	prefill = 0.5
-	// cachePrefixes is how many prefixes an endpoint's cache holds.
-	cachePrefixes = 12
-	// fastError is how long a failing endpoint takes for its error.
-	fastError = 5 * time.Millisecond
-	// crashAfter is how long a poison request runs before the engine is gone.
-	crashAfter = 200 * time.Millisecond
-	// restartTime is from a crash to the first request taken; then comes the cold start.
+	// cachedPrefixSaving is the share of a request's work that a cached prefix
+	// saves.
+	cachedPrefixSaving = 0.5
+	// cacheCapacity is the number of prefixes that an endpoint's cache holds.
+	cacheCapacity = 12
+	// errorDelay is the time that an endpoint takes to answer with an error or a
+	// refusal.
+	errorDelay = 5 * time.Millisecond
+	// poisonCrashDelay is how long a poison request runs before the engine crashes.
+	poisonCrashDelay = 200 * time.Millisecond
+	// restartTime is the time from a crash to the first accepted request, and
+	// coldTime the duration of the cold start that follows.
 	restartTime = 3 * time.Second
 	coldTime    = 8 * time.Second
 )
 
-// answer is what an attempt brings.
-type answer int
+// attemptOutcome is the result of an attempt.
+type attemptOutcome int
 
 const (
-	answered answer = iota
-	failed          // an error of the endpoint
-	full            // refused: no room
-	crashed         // the connection broke
+	answered attemptOutcome = iota
+	failed                  // the endpoint answered with an error
+	full                    // the endpoint refused for lack of slots
+	crashed                 // the connection broke or was refused
 )
 
-// job is one attempt at an engine.
+// job is one attempt that runs on an engine.
 type job struct {
-	req       *request
-	hit       bool
-	remaining float64
-	worked    float64
-	start     time.Time
-	done      func(answer)
+	req          *request
+	prefixCached bool
+	remaining    float64
+	worked       float64
+	start        time.Time
+	done         func(attemptOutcome)
 }
 
-// engine is one modelled endpoint: processor sharing with a cost a request in the
-// batch, a knee past which its memory is full and work is done twice, refusal above
-// its slots, cold start, and a cache of prompt prefixes.
+// engine models one endpoint by processor sharing. Each request in the batch slows
+// down the others; above the knee the memory is full and the speed falls with the
+// square of the number of requests; requests above the slots are refused. The model
+// includes cold start and a cache of prompt prefixes.
 type engine struct {
-	loop       *loop
-	name       string
-	dataCentre int
-	slots      int
-	coldSlots  int
-	knee       int
-	speed      float64
-	failing    bool
-	cold, down bool
-	version    int // counts changes of the jobs, so that a planned completion knows it is void
-	jobs       []*job
-	last       time.Time
-	cache      *lru.LRU[uint64, struct{}]
-	sequence   uint64
-	reported   int // the load that its last report to arrive gave
-	res        *Result
-	// changed tells the VMs of a crash, the restart and the end of the cold start.
-	changed func(e *engine)
-	// stored publishes a cache event.
-	stored func(e *engine, stored, removed []uint64)
+	loop               *loop
+	name               string
+	dataCentre         int
+	slots              int
+	coldSlots          int
+	knee               int
+	speed              float64
+	failing            bool
+	cold, down         bool
+	scheduleGeneration int // incremented by each change of the jobs, to invalidate scheduled completions
+	jobs               []*job
+	advancedAt         time.Time
+	cache              *lru.LRU[uint64, struct{}]
+	sequence           uint64
+	reportedLoad       int // the load in the last report that was delivered
+	result             *Result
+	// onStateChange notifies the VMs of a crash, the restart and the end of the
+	// cold start.
+	onStateChange func(e *engine)
+	// onCacheEvent publishes the prefixes that were stored in the cache and removed
+	// from it.
+	onCacheEvent func(e *engine, stored, removed []uint64)
 }
 
 func newEngine(l *loop, name string) *engine {
-	e := &engine{loop: l, name: name, speed: 1, last: epoch}
+	e := &engine{loop: l, name: name, speed: 1, advancedAt: epoch}
 	e.clearCache()
 	return e
 }
 
 func (e *engine) clearCache() {
-	cache, err := lru.NewLRU[uint64, struct{}](cachePrefixes, nil)
+	cache, err := lru.NewLRU[uint64, struct{}](cacheCapacity, nil)
 	if err != nil {
-		panic(err) // the size is a positive constant
+		panic(err) // NewLRU only fails for a size that isn't positive
 	}
 	e.cache = cache
 }
 
-// rate is the speed of each of n requests.
+// rate returns the speed of each request if n run at once.
 func (e *engine) rate(n int) float64 {
 	r := e.speed / (1 + batchCost*float64(n-1)/float64(max(e.slots-1, 1)))
 	if n > e.knee {
@@ -98,77 +106,82 @@
 	return r
 }
 
-// capacity is the work a second at full slots.
+// capacity returns the work per second at full slots.
 func (e *engine) capacity() float64 { return float64(e.slots) * e.rate(e.slots) }
 
+// advance updates the remaining work of the jobs to the current time.
 func (e *engine) advance() {
 	if n := len(e.jobs); n > 0 {
-		step := e.loop.now.Sub(e.last).Seconds() * e.rate(n)
+		step := e.loop.now.Sub(e.advancedAt).Seconds() * e.rate(n)
 		for _, j := range e.jobs {
 			j.remaining -= step
 			j.worked += step
 		}
 	}
-	e.last = e.loop.now
+	e.advancedAt = e.loop.now
 }
 
-// submit starts an attempt; done is called once, never from within submit.
-func (e *engine) submit(r *request, done func(answer)) *job {
+// submit starts an attempt. The function done is called at most once, and never
+// from within submit.
+func (e *engine) submit(r *request, done func(attemptOutcome)) *job {
 	e.advance()
 	j := &job{req: r, remaining: r.size, start: e.loop.now, done: done}
 	switch {
 	case e.down:
-		e.loop.after(fastError, func() { done(crashed) })
+		e.loop.after(errorDelay, func() { done(crashed) })
 		return j
 	case e.failing:
-		e.loop.after(fastError, func() { done(failed) })
+		e.loop.after(errorDelay, func() { done(failed) })
 		return j
 	case e.cold && len(e.jobs) >= e.coldSlots:
-		e.res.Overshoot++
-		e.loop.after(fastError, func() { done(full) })
+		e.result.Overshoot++
+		e.loop.after(errorDelay, func() { done(full) })
 		return j
 	case len(e.jobs) >= e.slots:
-		e.loop.after(fastError, func() { done(full) })
+		e.loop.after(errorDelay, func() { done(full) })
 		return j
 	}
-	e.usePrefix(j)
+	e.lookUpPrefix(j)
 	e.jobs = append(e.jobs, j)
 	if r.poison {
-		e.loop.after(crashAfter, func() { e.crashBy(j) })
+		e.loop.after(poisonCrashDelay, func() { e.crashIfRunning(j) })
 	}
 	e.schedule()
 	return j
 }
 
-func (e *engine) usePrefix(j *job) {
+// lookUpPrefix reduces the work of a job whose prefix is cached, and otherwise adds
+// the prefix to the cache.
+func (e *engine) lookUpPrefix(j *job) {
 	if j.req.prefix == 0 {
 		return
 	}
-	e.res.prefixed++
+	e.result.prefixed++
 	if _, ok := e.cache.Get(j.req.prefix); ok {
-		j.hit = true
-		j.remaining *= 1 - prefill
-		e.res.hits++
+		j.prefixCached = true
+		j.remaining *= 1 - cachedPrefixSaving
+		e.result.hits++
 		return
 	}
 	var removed []uint64
-	if e.cache.Len() == cachePrefixes {
+	if e.cache.Len() == cacheCapacity {
 		oldest, _, _ := e.cache.GetOldest()
 		removed = append(removed, oldest)
 	}
 	e.cache.Add(j.req.prefix, struct{}{})
-	e.stored(e, []uint64{j.req.prefix}, removed)
+	e.onCacheEvent(e, []uint64{j.req.prefix}, removed)
 }
 
-// cancel stops an attempt whose caller is gone.
+// cancel stops an attempt whose result is no longer needed.
 func (e *engine) cancel(j *job) {
 	e.advance()
 	if e.remove(j) {
-		e.res.wasted += j.worked
+		e.result.wasted += j.worked
 		e.schedule()
 	}
 }
 
+// remove removes a job and reports whether it was running.
 func (e *engine) remove(j *job) bool {
 	for i, x := range e.jobs {
 		if x == j {
@@ -179,25 +192,27 @@
 	return false
 }
 
-// schedule plans the next completion; a later change makes it void.
+// schedule schedules the next completion. A later change of the jobs invalidates
+// it.
 func (e *engine) schedule() {
-	e.version++
+	e.scheduleGeneration++
 	if len(e.jobs) == 0 {
 		return
 	}
-	version := e.version
+	version := e.scheduleGeneration
 	least := math.Inf(1)
 	for _, j := range e.jobs {
 		least = min(least, j.remaining)
 	}
 	wait := time.Duration(max(least, 0)/e.rate(len(e.jobs))*float64(time.Second)) + 1
 	e.loop.after(wait, func() {
-		if e.version == version {
+		if e.scheduleGeneration == version {
 			e.complete()
 		}
 	})
 }
 
+// complete ends the jobs without remaining work.
 func (e *engine) complete() {
 	e.advance()
 	var over []*job
@@ -212,52 +227,53 @@
 	e.jobs = kept
 	e.schedule()
 	for _, j := range over {
-		e.res.worked += j.worked
+		e.result.worked += j.worked
 		j.done(answered)
 	}
 }
 
-// crashBy crashes the engine if the poison request still runs there.
-func (e *engine) crashBy(j *job) {
+// crashIfRunning crashes the engine if the poison request still runs on it.
+func (e *engine) crashIfRunning(j *job) {
 	for _, x := range e.jobs {
 		if x == j {
-			e.res.Crashes++
+			e.result.Crashes++
 			e.crash(restartTime)
 			return
 		}
 	}
 }
 
-// crash breaks all connections; the engine is back after the given time, cold.
-func (e *engine) crash(back time.Duration) {
+// crash breaks all connections. The engine restarts after downTime, in cold start.
+func (e *engine) crash(downTime time.Duration) {
 	e.advance()
 	lost := e.jobs
 	e.jobs = nil
 	e.down = true
-	e.version++
+	e.scheduleGeneration++
 	e.clearCache()
-	e.changed(e)
+	e.onStateChange(e)
 	for _, j := range lost {
-		e.res.wasted += j.worked
+		e.result.wasted += j.worked
 		j.done(crashed)
 	}
-	e.loop.after(back, e.restart)
+	e.loop.after(downTime, e.restart)
 }
 
+// restart accepts requests again, in cold start until coldTime has passed.
 func (e *engine) restart() {
 	e.advance()
 	e.down = false
 	e.cold = true
-	e.changed(e)
+	e.onStateChange(e)
 	e.loop.after(coldTime, func() {
 		e.advance()
 		e.cold = false
 		e.schedule()
-		e.changed(e)
+		e.onStateChange(e)
 	})
 }
 
-// setSpeed changes the engine's speed.
+// setSpeed changes the engine's relative speed from the current time on.
 func (e *engine) setSpeed(speed float64) {
 	e.advance()
 	e.speed = speed
--- a/policy/loadtest/modules.go
+++ b/policy/loadtest/modules.go
@@ -7,38 +7,46 @@
 	"goldcrestfork/policy/picker"
 )
 
-// Modules says which decisions are the real ones; the others are the baseline.
+// Modules selects the real implementation of each decision; a false field selects
+// the baseline.
 type Modules struct {
-	// Admission, or first in, first out without bound.
+	// Admission enables the admission queue. The baseline is an unbounded first-in,
+	// first-out queue.
 	Admission bool
-	// Limit, or the configured slots whatever is measured.
+	// Limit enables the adaptive limit. The baseline always uses the configured
+	// slots.
 	Limit bool
-	// Cold start's limit, or the configured slots then as well.
+	// Cold enables the lower limit during cold start. The baseline uses the
+	// configured slots.
 	Cold bool
-	// Picker, or round robin.
+	// Picker enables the endpoint picker. The baseline is round robin.
 	Picker bool
-	// LeastReported takes the endpoint with the least reported load in place of the picker.
+	// LeastReported replaces the picker by the choice of the endpoint with the
+	// least reported load.
 	LeastReported bool
-	// Retry budgets, or three attempts at once for all that may be repeated.
+	// Retry enables retry budgets. The baseline makes up to three attempts without
+	// delay for each idempotent request.
 	Retry bool
-	// Hedge lets a slow attempt have a second one beside it, from the same budget.
+	// Hedge starts a second attempt in parallel to a slow one, from the same
+	// budget.
 	Hedge bool
-	// Outlier ejection, or none.
+	// Outlier enables the ejection of outliers. The baseline ejects no endpoint.
 	Outlier bool
-	// Poison quarantine, or none.
+	// Poison enables the quarantine of poison requests. The baseline quarantines
+	// none.
 	Poison bool
 }
 
-// All is every module.
+// All enables every module.
 var All = Modules{Admission: true, Limit: true, Cold: true, Picker: true, Retry: true, Hedge: true, Outlier: true, Poison: true}
 
-// Variant is a named choice of modules.
+// Variant is a named selection of modules.
 type Variant struct {
 	Name string
 	Modules
 }
 
-// Variants are all modules, all but one each, and none.
+// Variants are all modules, all modules but one, and no modules.
 var Variants = []Variant{
 	{"all", All},
 	{"no admission", without(func(m *Modules) { m.Admission = false })},
@@ -53,14 +61,15 @@
 	{"none", Modules{}},
 }
 
+// without returns All after the change drop.
 func without(drop func(*Modules)) Modules {
 	m := All
 	drop(&m)
 	return m
 }
 
-// admitter is what a VM asks of its admission.
-type admitter interface {
+// admissionQueue is the part of the admission module that a VM uses.
+type admissionQueue interface {
 	SetCapacity(now time.Time, slots int)
 	Offer(now time.Time, it admission.Item) admission.Verdict
 	Next(now time.Time) (admission.Item, bool)
@@ -70,8 +79,8 @@
 	Refused(now time.Time) []admission.Refusal
 }
 
-// fifo is the baseline of admission: first in, first out, without bound. Callers
-// that hang up are taken out of it, as any server does.
+// fifo is the baseline of admission: an unbounded first-in, first-out queue. Calls
+// whose callers hang up are removed, as any server does.
 type fifo struct {
 	capacity, running int
 	items             []admission.Item
@@ -117,9 +126,9 @@
 
 func (f *fifo) Refused(time.Time) []admission.Refusal { return nil }
 
-// onlyNamed is a filter for one endpoint: it makes a table follow an order that is
-// decided outside of it.
-type onlyNamed struct{ name string }
+// nameFilter allows one endpoint only. It makes a picker.Table return an
+// endpoint that was chosen outside of it.
+type nameFilter struct{ name string }
 
 // Allow implements picker.RequestFilter.
-func (o *onlyNamed) Allow(_ *picker.Request, e *picker.Endpoint) bool { return e.Name == o.name }
+func (o *nameFilter) Allow(_ *picker.Request, e *picker.Endpoint) bool { return e.Name == o.name }
--- a/policy/loadtest/result.go
+++ b/policy/loadtest/result.go
@@ -7,15 +7,16 @@
 	"goldcrestfork/config"
 )
 
-// Tally counts what a group of callers received. A caller's request counts once,
-// however often it was sent.
+// Tally counts what a group of callers received. Offered and Completed count each
+// request once, however many tries it takes; the other counts are of tries.
 type Tally struct {
-	// Offered requests, and those completed within the deadline of some try.
+	// Offered is the number of requests, and Completed the number of those that
+	// were completed within the deadline of one of their tries.
 	Offered, Completed int
-	// Refused and TimedOut tries: told so at once, or left without an answer until
-	// the deadline. Failed tries got an error.
+	// Refused is the number of tries that got a refusal, TimedOut of those without
+	// an answer by their deadline, and Failed of those that got an error.
 	Refused, TimedOut, Failed int
-	// Late refusals came more than a second after sending.
+	// Late is the number of refusals that came more than a second after sending.
 	Late    int
 	latency *hdrhistogram.Histogram
 }
@@ -26,41 +27,46 @@
 	}
 }
 
-// Latency returns a percentile of the time from sending the successful try to its answer.
+// Latency returns a percentile (0 to 100) of the time from sending the successful
+// try to its answer.
 func (t *Tally) Latency(percentile float64) time.Duration {
 	return time.Duration(t.latency.ValueAtPercentile(percentile)) * time.Millisecond
 }
 
-// Share is the completed part of what was offered, 1 when nothing was.
-func (t *Tally) Share() float64 {
+// CompletedShare returns the completed share of the offered requests, or 1 if there
+// were none.
+func (t *Tally) CompletedShare() float64 {
 	if t.Offered == 0 {
 		return 1
 	}
 	return float64(t.Completed) / float64(t.Offered)
 }
 
-// Result is what one run brought.
+// Result holds the measurements of one run.
 type Result struct {
-	// Classes, and the accounts other than the hot one, or the hot one alone.
+	// Classes holds the tallies by priority class. Others covers all accounts but
+	// the hot one, Hot the hot account, and All every account.
 	Classes          [3]Tally
 	Others, Hot, All Tally
-	// OthersImmediate are the immediate requests of the others.
+	// OthersImmediate covers the immediate requests of all accounts but the hot
+	// one.
 	OthersImmediate Tally
-	// Long and Short requests of a scenario that has long ones.
+	// Long and Short cover the long requests of a scenario and the remaining ones.
 	Long, Short Tally
-	// Overshoot counts requests sent to an endpoint in cold start above what it bears.
+	// Overshoot counts the requests sent to an endpoint in cold start beyond its
+	// cold slots.
 	Overshoot int
-	// Crashes counts endpoints that a poison request took down; FalseQuarantines the
-	// innocent requests that were refused for it.
+	// Crashes counts the endpoint crashes caused by poison requests, and
+	// FalseQuarantines the other requests that were refused as poison.
 	Crashes, FalseQuarantines int
 
-	capacity       float64 // work a second at full slots
-	worked, wasted float64 // work that ended in an answer, and that didn't
-	firsts, again  float64 // estimated work of first dispatches and of repeated ones
-	hits, prefixed int
-	goodput        []float64 // completed work by second of its completion
-	offered        []float64 // work first sent, by second
-	offeredDone    []float64 // the part of it that was completed, by second of sending
+	capacity                float64 // work per second at full slots
+	worked, wasted          float64 // work that ended in an answer, and work that didn't
+	firstWork, repeatedWork float64 // estimated work of first and of repeated dispatches
+	hits, prefixed          int
+	goodput                 []float64 // completed work, by second of completion
+	offered                 []float64 // work of new requests, by second of sending
+	offeredCompleted        []float64 // the completed part of offered, by second of sending
 }
 
 func newResult() *Result {
@@ -71,23 +77,26 @@
 	return r
 }
 
-// Wasted is the share of endpoint work that reached no caller.
-func (r *Result) Wasted() float64 { return ratio(r.wasted, r.worked+r.wasted) }
+// WastedWorkRatio returns the share of endpoint work that reached no caller.
+func (r *Result) WastedWorkRatio() float64 { return ratio(r.wasted, r.worked+r.wasted) }
 
-// Extra is the work of repeated attempts as a share of first ones.
-func (r *Result) Extra() float64 { return ratio(r.again, r.firsts) }
+// RepeatedWorkRatio returns the work of repeated attempts relative to that of first
+// attempts.
+func (r *Result) RepeatedWorkRatio() float64 { return ratio(r.repeatedWork, r.firstWork) }
 
-// Hits is the share of prefixed attempts that found their prefix cached.
-func (r *Result) Hits() float64 { return ratio(float64(r.hits), float64(r.prefixed)) }
+// PrefixHitRatio returns the share of attempts with a prefix that found it in the
+// endpoint's cache.
+func (r *Result) PrefixHitRatio() float64 { return ratio(float64(r.hits), float64(r.prefixed)) }
 
-// Goodput is the work completed in time between two times, as a share of capacity.
+// Goodput returns the work completed in time between two times, as a share of
+// capacity.
 func (r *Result) Goodput(from, to time.Duration) float64 {
 	return sumOf(r.goodput, from, to) / (r.capacity * (to - from).Seconds())
 }
 
-// Kept is the share of the work sent between two times that was completed.
+// Kept returns the completed share of the work that was sent between two times.
 func (r *Result) Kept(from, to time.Duration) float64 {
-	return ratio(sumOf(r.offeredDone, from, to), sumOf(r.offered, from, to))
+	return ratio(sumOf(r.offeredCompleted, from, to), sumOf(r.offered, from, to))
 }
 
 func ratio(a, b float64) float64 {
@@ -97,6 +106,7 @@
 	return a / b
 }
 
+// sumOf sums the values of the seconds between two times.
 func sumOf(seconds []float64, from, to time.Duration) float64 {
 	sum := 0.0
 	for i := int(from.Seconds()); i < int(to.Seconds()) && i < len(seconds); i++ {
@@ -105,7 +115,8 @@
 	return sum
 }
 
-func addAt(seconds *[]float64, at time.Duration, work float64) {
+// addToSecond adds work to the second that contains the time at.
+func addToSecond(seconds *[]float64, at time.Duration, work float64) {
 	i := int(at.Seconds())
 	for len(*seconds) <= i {
 		*seconds = append(*seconds, 0)
@@ -113,7 +124,7 @@
 	(*seconds)[i] += work
 }
 
-// tallies are the groups that a request counts in.
+// tallies returns the tallies of the groups that a request belongs to.
 func (r *Result) tallies(q *request) []*Tally {
 	group := &r.Others
 	if q.account == hotAccount {
@@ -130,22 +141,25 @@
 	return tallies
 }
 
+// sent counts a new request.
 func (r *Result) sent(at time.Duration, q *request) {
 	for _, t := range r.tallies(q) {
 		t.Offered++
 	}
-	addAt(&r.offered, at, q.size)
+	addToSecond(&r.offered, at, q.size)
 }
 
+// completed counts a completed request and its latency.
 func (r *Result) completed(now time.Time, q *request) {
 	for _, t := range r.tallies(q) {
 		t.Completed++
 		_ = t.latency.RecordValue(max(now.Sub(q.sent).Milliseconds(), 1))
 	}
-	addAt(&r.goodput, now.Sub(epoch), q.size)
-	addAt(&r.offeredDone, q.first.Sub(epoch), q.size)
+	addToSecond(&r.goodput, now.Sub(epoch), q.size)
+	addToSecond(&r.offeredCompleted, q.first.Sub(epoch), q.size)
 }
 
+// refused counts a refused try.
 func (r *Result) refused(now time.Time, q *request) {
 	for _, t := range r.tallies(q) {
 		t.Refused++
@@ -155,5 +169,5 @@
 	}
 }
 
-// Immediate is the tally of the immediate class.
+// Immediate returns the tally of the immediate class.
 func (r *Result) Immediate() *Tally { return &r.Classes[config.ClassImmediate] }
--- a/policy/loadtest/run.go
+++ b/policy/loadtest/run.go
@@ -15,98 +15,105 @@
 )
 
 const (
-	// tick is how often a VM looks at its queue and its ejected endpoints.
-	tick = 100 * time.Millisecond
-	// reportEvery is the period of load reports, reportLag how late they come.
-	reportEvery = 2 * time.Second
-	reportLag   = 2 * time.Second
-	// eventLag is how late cache events come; one in eventLoss is lost.
+	// queueCheckInterval is how often a VM checks its queue and its ejected
+	// endpoints.
+	queueCheckInterval = 100 * time.Millisecond
+	// reportInterval is the period of load reports, and reportLag their delay.
+	reportInterval = 2 * time.Second
+	reportLag      = 2 * time.Second
+	// eventLag is the delay of cache events. One in eventLoss events is lost.
 	eventLag  = time.Second
 	eventLoss = 10
-	// shareEvery is how often VMs exchange what they hold against requests.
-	shareEvery = time.Second
-	// poisonTries is how often the caller of a poison request sends it, and
-	// poisonPause the time in between.
-	poisonTries = 12
-	poisonPause = 300 * time.Millisecond
-	// probePatience is how many expected lengths a request's deadline is away when it
-	// may try out an endpoint on probation: time for the attempt at a quarter of the
-	// speed that ejects, and for another one elsewhere.
-	probePatience = 10
-	// resend is after how long a caller sends again that got no time to come back.
-	resend = 200 * time.Millisecond
-	// tail is how long a run goes on at most for the answers to what was sent.
-	tail = 320 * time.Second
+	// poisonShareInterval is how often VMs exchange their counts of crashes by
+	// request.
+	poisonShareInterval = time.Second
+	// poisonTries is how many times the caller of a poison request sends it, and
+	// poisonResendDelay the time between two tries.
+	poisonTries       = 12
+	poisonResendDelay = 300 * time.Millisecond
+	// probeDeadlineFactor is the number of expected durations that a request's
+	// patience must exceed before the request may probe an endpoint on probation.
+	// That is enough time for an attempt at a quarter of the speed at which
+	// endpoints are ejected, and for another attempt elsewhere.
+	probeDeadlineFactor = 10
+	// resendDelay is the time after which a caller sends again if the answer gave
+	// no retry time.
+	resendDelay = 200 * time.Millisecond
+	// maxDrainTime bounds how long a run waits for the answers after the last new
+	// request.
+	maxDrainTime = 320 * time.Second
 )
 
-// run is one measurement.
+// run is the state of one measurement.
 type run struct {
-	loop    *loop
-	w       *Workload
-	s       *Scenario
-	gens    []*generator // by account
-	callers *rand.Rand   // which VM a caller uses
-	faults  *rand.Rand   // lost events
-	vms     []*vm
-	engines map[string]*engine
-	order   []*engine
-	res     *Result
-	open    int // tries under way, and those that callers will make
+	loop         *loop
+	workload     *Workload
+	scenario     *Scenario
+	generators   []*generator // indexed by account
+	callerRand   *rand.Rand   // selects the VM for each try
+	lossRand     *rand.Rand   // selects the cache events that are lost
+	vms          []*vm
+	engines      map[string]*engine
+	engineOrder  []*engine
+	result       *Result
+	pendingTries int // tries in progress or scheduled
 }
 
-// Run measures one scenario with one choice of modules. The same seed gives the
-// same first requests whatever the modules.
+// Run measures one scenario with one selection of modules. The same seed gives the
+// same first requests for any selection.
 func Run(w Workload, s Scenario, m Modules, seed uint64) *Result {
 	r := &run{
-		loop:    &loop{now: epoch},
-		w:       &w,
-		s:       &s,
-		callers: rand.New(rand.NewPCG(seed, 2)),
-		faults:  rand.New(rand.NewPCG(seed, 3)),
-		engines: make(map[string]*engine),
-		res:     newResult(),
+		loop:       &loop{now: epoch},
+		workload:   &w,
+		scenario:   &s,
+		callerRand: rand.New(rand.NewPCG(seed, 2)),
+		lossRand:   rand.New(rand.NewPCG(seed, 3)),
+		engines:    make(map[string]*engine),
+		result:     newResult(),
 	}
 	for account := range accountWeights {
-		r.gens = append(r.gens, newGenerator(&w, &s, seed, account))
+		r.generators = append(r.generators, newGenerator(&w, &s, seed, account))
 	}
 	r.addEngines()
 	r.addVMs(m, seed)
-	r.addCallers()
-	r.addFaults()
-	r.loop.runUntil(epoch.Add(s.Length+tail), func() bool { return r.open == 0 && r.loop.since() > s.Length })
-	return r.res
+	r.startCallers()
+	r.scheduleFaults()
+	r.loop.runUntil(epoch.Add(s.Length+maxDrainTime), func() bool { return r.pendingTries == 0 && r.loop.elapsed() > s.Length })
+	return r.result
 }
 
+// addEngines creates the endpoints and computes the pool's capacity.
 func (r *run) addEngines() {
-	for i := range r.w.Endpoints {
+	for i := range r.workload.Endpoints {
 		e := newEngine(r.loop, fmt.Sprintf("endpoint-%02d", i))
-		e.res = r.res
-		e.dataCentre = i % r.w.DataCentre
-		e.slots, e.coldSlots, e.knee = r.w.Slots, r.w.ColdSlots, r.w.Slots
-		if r.s.KneeShare > 0 {
-			e.knee = int(r.s.KneeShare * float64(r.w.Slots))
+		e.result = r.result
+		e.dataCentre = i % r.workload.DataCentre
+		e.slots, e.coldSlots, e.knee = r.workload.Slots, r.workload.ColdSlots, r.workload.Slots
+		if r.scenario.KneeShare > 0 {
+			e.knee = int(r.scenario.KneeShare * float64(r.workload.Slots))
 		}
-		e.changed = r.engineChanged
-		e.stored = r.cacheEvent
+		e.onStateChange = r.engineChanged
+		e.onCacheEvent = r.cacheEvent
 		r.engines[e.name] = e
-		r.order = append(r.order, e)
-		r.res.capacity += e.capacity()
+		r.engineOrder = append(r.engineOrder, e)
+		r.result.capacity += e.capacity()
 	}
-	if r.s.KneeShare > 0 {
-		// The capacity of a pool whose memory is short is that at the knee.
-		e := r.order[0]
-		r.res.capacity = float64(len(r.order)*e.knee) * e.rate(e.knee)
+	if r.scenario.KneeShare > 0 {
+		// A pool that is short of memory has its highest capacity at the knee.
+		e := r.engineOrder[0]
+		r.result.capacity = float64(len(r.engineOrder)*e.knee) * e.rate(e.knee)
 	}
 }
 
+// addVMs creates the VMs and schedules their periodic work.
 func (r *run) addVMs(m Modules, seed uint64) {
-	for i := range r.w.VMs {
+	for i := range r.workload.VMs {
 		v := &vm{
-			run: r, mods: m,
+			run: r, modules: m,
 			rng:     rand.New(rand.NewPCG(seed, uint64(100+i))),
 			budget:  retry.New(retry.Ratio),
 			outlier: outlier.New(),
-			poison:  poison.New(r.w.Endpoints),
+			poison:  poison.New(r.workload.Endpoints),
 			running: make(map[string]map[*call]bool),
 		}
 		v.queue = &fifo{}
@@ -116,55 +123,58 @@
 		v.table = v.newTable(m)
 		v.table.Set(r.specs(i))
 		var names []string
-		for _, e := range r.order {
+		for _, e := range r.engineOrder {
 			names = append(names, e.name)
 			v.running[e.name] = make(map[*call]bool)
 		}
 		v.outlier.Set(names)
-		v.settle()
+		v.dispatchQueued()
 		r.vms = append(r.vms, v)
-		r.loop.every(tick, tick, v.settle)
+		r.loop.every(queueCheckInterval, queueCheckInterval, v.dispatchQueued)
 	}
 	if m.Poison {
-		r.loop.every(shareEvery, shareEvery, r.sharePoison)
+		r.loop.every(poisonShareInterval, poisonShareInterval, r.sharePoison)
 	}
-	if r.s.StaleReports {
-		r.loop.every(reportEvery, reportEvery, r.reportLoad)
+	if r.scenario.StaleReports {
+		r.loop.every(reportInterval, reportInterval, r.reportLoad)
 	}
 }
 
+// newTable returns the VM's endpoint table, configured for the selected modules.
 func (v *vm) newTable(m Modules) *picker.Table {
-	cfg := picker.DefaultConfig(v.run.w.Weights)
+	cfg := picker.DefaultConfig(v.run.workload.Weights)
 	cfg.Limit.Fixed = !m.Limit
 	if !m.Picker {
-		v.only = &onlyNamed{}
-		cfg.Request = append(cfg.Request, v.only)
+		v.endpointFilter = &nameFilter{}
+		cfg.Request = append(cfg.Request, v.endpointFilter)
 		cfg.Affinity = false
 	}
 	return picker.NewTable(cfg)
 }
 
-// specs deals the endpoints' slots to the VMs: even parts, and the rest to VMs in
-// turn, so that all parts of an endpoint add up to its slots.
+// specs returns the endpoints with the VM's part of their slots. Each endpoint's
+// slots are divided evenly, and the remainder is given to one VM after another, so
+// that the parts of an endpoint sum to its slots.
 func (r *run) specs(vmIndex int) []picker.Spec {
 	var specs []picker.Spec
-	for i, e := range r.order {
+	for i, e := range r.engineOrder {
 		tier := picker.TierRegion
-		if e.dataCentre == vmIndex%r.w.DataCentre {
+		if e.dataCentre == vmIndex%r.workload.DataCentre {
 			tier = picker.TierLocal
 		}
 		specs = append(specs, picker.Spec{
 			Name: e.name, Pools: []string{poolName}, Tier: tier,
 			Bounds: limit.Bounds{
-				Slots: deal(e.slots, r.w.VMs, i, vmIndex),
-				Cold:  deal(e.coldSlots, r.w.VMs, i, vmIndex),
+				Slots: slotsForVM(e.slots, r.workload.VMs, i, vmIndex),
+				Cold:  slotsForVM(e.coldSlots, r.workload.VMs, i, vmIndex),
 			},
 		})
 	}
 	return specs
 }
 
-func deal(slots, vms, endpoint, vmIndex int) int {
+// slotsForVM returns one VM's part of an endpoint's slots.
+func slotsForVM(slots, vms, endpoint, vmIndex int) int {
 	part := slots / vms
 	rest := slots % vms
 	if turn := (vmIndex - endpoint*rest%vms + vms) % vms; turn < rest {
@@ -173,31 +183,34 @@
 	return part
 }
 
-// engineChanged tells all VMs at once: each holds connections to each endpoint.
+// engineChanged updates all VMs at once after a change of an endpoint, because each
+// VM has connections to each endpoint.
 func (r *run) engineChanged(e *engine) {
 	for _, v := range r.vms {
-		if e.down && v.mods.Poison {
-			v.blame(e)
+		if e.down && v.modules.Poison {
+			v.attributeCrash(e)
 		}
-		if v.mods.Cold {
+		if v.modules.Cold {
 			v.table.SetCold(e.name, e.cold)
 		}
 		v.table.Update(e.name, func(s *picker.State) { s.Down = e.down })
-		r.loop.after(0, v.settle)
+		r.loop.after(0, v.dispatchQueued)
 	}
 }
 
-// blame holds a crash against what this VM had in flight there.
-func (v *vm) blame(e *engine) {
+// attributeCrash records a crash of an endpoint against the calls that this VM had
+// in flight there.
+func (v *vm) attributeCrash(e *engine) {
 	var prints []poison.Fingerprint
 	for c := range v.running[e.name] {
-		prints = append(prints, c.print)
+		prints = append(prints, c.fingerprint)
 	}
 	if len(prints) > 0 {
 		v.poison.Crashed(v.run.loop.now, e.name, prints, 0)
 	}
 }
 
+// sharePoison merges each VM's crash counts into those of the other VMs.
 func (r *run) sharePoison() {
 	var all [][]poison.Count
 	for _, v := range r.vms {
@@ -212,12 +225,13 @@
 	}
 }
 
+// reportLoad schedules the delivery of the endpoints' current load to all VMs.
 func (r *run) reportLoad() {
 	taken := r.loop.now
-	for _, e := range r.order {
+	for _, e := range r.engineOrder {
 		load := len(e.jobs)
 		r.loop.after(reportLag, func() {
-			e.reported = load
+			e.reportedLoad = load
 			for _, v := range r.vms {
 				v.table.Report(e.name, picker.Report{InFlight: load, At: taken})
 			}
@@ -225,11 +239,13 @@
 	}
 }
 
+// cacheEvent schedules the delivery of a cache event to the VMs; each VM may lose
+// it.
 func (r *run) cacheEvent(e *engine, stored, removed []uint64) {
 	e.sequence++
 	ev := picker.Event{Sequence: e.sequence, Stored: stored, Removed: removed}
 	for _, v := range r.vms {
-		if r.faults.IntN(eventLoss) == 0 {
+		if r.lossRand.IntN(eventLoss) == 0 {
 			continue
 		}
 		r.loop.after(eventLag, func() { v.table.Event(e.name, ev) })
@@ -238,12 +254,13 @@
 
 func accountName(i int) string { return fmt.Sprintf("account-%d", i) }
 
-// firstID is the part of a request's id that all its tries share.
-const firstID = 1<<48 - 1
+// baseIDMask selects the part of a request's id that all its tries have in common.
+const baseIDMask = 1<<48 - 1
 
-// fingerprint is the same for all tries of a request.
-func fingerprint(r *request) poison.Fingerprint {
+// fingerprintOf returns the fingerprint of a request, which is the same for all its
+// tries.
+func fingerprintOf(r *request) poison.Fingerprint {
 	var body [8]byte
-	binary.LittleEndian.PutUint64(body[:], r.id&firstID)
+	binary.LittleEndian.PutUint64(body[:], r.id&baseIDMask)
 	return poison.Of(accountName(r.account), poolName, body[:])
 }
--- a/policy/loadtest/vm.go
+++ b/policy/loadtest/vm.go
@@ -14,55 +14,55 @@
 
 const poolName = "pool"
 
-// vm decides for the requests that callers send to it.
+// vm decides on the requests that callers send to one VM.
 type vm struct {
-	run     *run
-	mods    Modules
-	rng     *rand.Rand
-	queue   admitter
-	table   *picker.Table
-	budget  *retry.Budget
-	outlier *outlier.Detector
-	poison  *poison.Tracker
-	only    *onlyNamed // round robin's filter
-	turn    int
-	running map[string]map[*call]bool // calls in flight by endpoint
+	run             *run
+	modules         Modules
+	rng             *rand.Rand
+	queue           admissionQueue
+	table           *picker.Table
+	budget          *retry.Budget
+	outlier         *outlier.Detector
+	poison          *poison.Tracker
+	endpointFilter  *nameFilter // selects the endpoint for round robin and LeastReported
+	roundRobinIndex int
+	running         map[string]map[*call]bool // calls in flight, by endpoint name
 }
 
-// call is a request on its way through one VM.
+// call is one try of a request on one VM.
 type call struct {
-	vm    *vm
-	req   *request
-	item  admission.Item
-	pick  picker.Request
-	print poison.Fingerprint
-	live  []*attempt // attempts that run; two when hedged
-	made  int
-	slot  bool // holds a slot of the queue
-	over  bool
+	vm          *vm
+	req         *request
+	item        admission.Item
+	pick        picker.Request
+	fingerprint poison.Fingerprint
+	active      []*attempt // running attempts; two if hedged
+	attempts    int
+	holdsSlot   bool // whether the call holds a slot of the queue
+	ended       bool
 }
 
-// arrive takes a request in.
-func (v *vm) arrive(r *request) *call {
+// receive admits, queues or refuses a request.
+func (v *vm) receive(r *request) *call {
 	now := v.run.loop.now
-	c := &call{vm: v, req: r, print: fingerprint(r)}
+	c := &call{vm: v, req: r, fingerprint: fingerprintOf(r)}
 	c.item = admission.Item{
 		ID: r.id, Value: c, Account: accountName(r.account), Weight: accountWeights[r.account],
 		Class: r.class, Deadline: r.deadline, Size: r.estimate,
 	}
 	c.pick = picker.Request{Pool: poolName}
-	c.pick.Probe = r.idempotent && r.patience > probePatience*v.expected(c)
+	c.pick.Probe = r.idempotent && r.patience > probeDeadlineFactor*v.expected(c)
 	if r.prefix != 0 {
 		c.pick.Prefix = []uint64{r.prefix}
 	}
-	if v.mods.Poison && v.poison.Quarantined(now, c.print) {
+	if v.modules.Poison && v.poison.Quarantined(now, c.fingerprint) {
 		if !r.poison {
-			v.run.res.FalseQuarantines++
+			v.run.result.FalseQuarantines++
 		}
 		v.run.quarantined(c)
 		return c
 	}
-	if v.mods.Outlier && v.outlier.Broken(now) {
+	if v.modules.Outlier && v.outlier.Broken(now) {
 		v.run.refused(c, v.retryAfter(now, c))
 		return c
 	}
@@ -73,10 +73,12 @@
 	case admission.Refused:
 		v.run.refused(c, verdict.RetryAfter)
 	}
-	v.settle()
+	v.dispatchQueued()
 	return c
 }
 
+// retryAfter returns the time after which the caller of a refused call may send
+// again.
 func (v *vm) retryAfter(now time.Time, c *call) time.Duration {
 	if q, ok := v.queue.(*admission.Queue); ok {
 		return q.RetryAfter(now, c.item, admission.ReasonBroken)
@@ -84,32 +86,34 @@
 	return time.Second
 }
 
-// dispatch sends a call that holds a slot of the queue to an endpoint.
+// dispatch sends a call that holds a slot of the queue to an endpoint. If no
+// endpoint has room, dispatch returns the call to the queue and reports false.
 func (v *vm) dispatch(c *call) bool {
-	c.slot = true
+	c.holdsSlot = true
 	if v.attempt(c) {
 		return true
 	}
-	c.slot = false
+	c.holdsSlot = false
 	v.queue.PutBack(v.run.loop.now, c.item)
 	return false
 }
 
-// choose picks an endpoint, or takes the next in turn.
+// choose selects an endpoint with the picker, by the least reported load or by
+// round robin.
 func (v *vm) choose(now time.Time, c *call) (*picker.Endpoint, picker.Miss) {
-	if v.mods.Picker {
+	if v.modules.Picker {
 		return v.table.Pick(now, v.rng, &c.pick)
 	}
-	order := v.run.order
-	if v.mods.LeastReported {
+	order := v.run.engineOrder
+	if v.modules.LeastReported {
 		order = v.byReport()
 	}
 	for range order {
-		v.turn = (v.turn + 1) % len(order)
-		if v.mods.LeastReported {
-			v.only.name, order = order[0].name, order[1:]
+		v.roundRobinIndex = (v.roundRobinIndex + 1) % len(order)
+		if v.modules.LeastReported {
+			v.endpointFilter.name, order = order[0].name, order[1:]
 		} else {
-			v.only.name = order[v.turn].name
+			v.endpointFilter.name = order[v.roundRobinIndex].name
 		}
 		if e, miss := v.table.Pick(now, v.rng, &c.pick); miss == picker.Picked {
 			return e, miss
@@ -118,42 +122,43 @@
 	return nil, picker.MissFull
 }
 
-// byReport orders the endpoints by their last report.
+// byReport returns the endpoints in the order of their last reported load.
 func (v *vm) byReport() []*engine {
-	order := slices.Clone(v.run.order)
-	slices.SortStableFunc(order, func(a, b *engine) int { return a.reported - b.reported })
+	order := slices.Clone(v.run.engineOrder)
+	slices.SortStableFunc(order, func(a, b *engine) int { return a.reportedLoad - b.reportedLoad })
 	return order
 }
 
 // finish ends a call that holds a slot.
 func (v *vm) finish(c *call, elapsed time.Duration) {
-	c.over = true
-	c.slot = false
+	c.ended = true
+	c.holdsSlot = false
 	v.queue.Done(v.run.loop.now, c.item, elapsed, 0)
 }
 
-// hangUp is the caller's leaving at its deadline.
+// hangUp ends a call whose caller leaves at its deadline.
 func (v *vm) hangUp(c *call) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	if c.slot {
-		v.cut(c)
+	c.ended = true
+	if c.holdsSlot {
+		v.cancelAttempts(c)
 		v.queue.Done(v.run.loop.now, c.item, 0, 0)
 	} else {
 		v.queue.Remove(c.item)
 	}
 	v.run.timedOut(c)
-	v.settle()
+	v.dispatchQueued()
 }
 
-// settle brings the queue up to date after a change: capacity, refusals, free slots.
-func (v *vm) settle() {
+// dispatchQueued updates the queue after a change of state: it sets the capacity,
+// dispatches calls to free slots and delivers refusals.
+func (v *vm) dispatchQueued() {
 	now := v.run.loop.now
-	if v.mods.Outlier {
+	if v.modules.Outlier {
 		for _, change := range v.outlier.Due(now) {
-			v.apply(change)
+			v.applyEjection(change)
 		}
 	}
 	capacity, _ := v.table.Capacity(poolName)
--- a/policy/loadtest/workload.go
+++ b/policy/loadtest/workload.go
@@ -9,17 +9,17 @@
 	"goldcrestfork/policy/picker"
 )
 
-// kind is one kind of request of a workload.
+// kind describes one kind of request in a workload.
 type kind struct {
-	share    float64 // of requests
+	share    float64 // part of the workload's requests
 	class    config.Class
-	size     float64 // mean work, in seconds alone on an engine
+	size     float64 // mean work, in seconds on an otherwise idle engine
 	deadline time.Duration
-	// idempotent requests may be retried.
+	// idempotent says that requests of this kind may be retried.
 	idempotent bool
 }
 
-// Workload is one of the brief's two users: its pool and its requests.
+// Workload describes a pool and the requests that it serves.
 type Workload struct {
 	Name                  string
 	Endpoints, DataCentre int
@@ -29,7 +29,7 @@
 	kinds                 []kind
 }
 
-// Cluj is model-ierburi of Regia Pajistilor: 12 runners, reports that may wait.
+// Cluj models a pool of 12 endpoints that mostly serves reports that may wait.
 var Cluj = Workload{
 	Name: "cluj", Endpoints: 12, DataCentre: 4, Slots: 16, ColdSlots: 2, VMs: 7,
 	Weights: picker.WeightsCost,
@@ -41,7 +41,7 @@
 	},
 }
 
-// Norte is asistente of Conectores del Norte: 9 runners, till lookups first.
+// Norte models a pool of 9 endpoints that mostly serves short lookups at a till.
 var Norte = Workload{
 	Name: "norte", Endpoints: 9, DataCentre: 3, Slots: 8, ColdSlots: 1, VMs: 6,
 	Weights: picker.WeightsLatency,
@@ -53,49 +53,54 @@
 	},
 }
 
-// accountWeights are ten client accounts, a few large.
+// accountWeights are the relative rates of ten client accounts, of which a few are
+// large.
 var accountWeights = []float64{4, 3, 2, 1, 1, 1, 1, 1, 1, 1}
 
-// hotAccount is the account that floods in the scenarios with a hot caller; a small one.
+// hotAccount is the account, a small one, that sends excess load in scenarios with
+// a HotFactor.
 const hotAccount = 5
 
-// poisonAccount sends the poison request.
+// poisonAccount is the account that sends the poison requests.
 const poisonAccount = 1
 
 const (
-	// sizeSpread is the sigma of the log-normal spread of sizes within a kind.
+	// sizeSpread is the sigma of the log-normal distribution of sizes within a
+	// kind.
 	sizeSpread = 0.6
-	// estimateSpread is that of the router's estimate around the true size.
+	// estimateSpread is the sigma of the router's log-normal estimate around the
+	// true size.
 	estimateSpread = 0.3
-	// prefixes is the number of shared prompt starts; a Zipf law says which is used.
-	prefixes = 60
-	// comesBack is the share of callers that send a request again that wasn't answered.
-	comesBack = 0.5
-	// maxTries is how often such a caller sends it in all.
+	// sharedPrefixes is the number of shared prompt prefixes. Requests choose one
+	// by a Zipf distribution.
+	sharedPrefixes = 60
+	// resendShare is the share of callers that resend an unanswered request.
+	resendShare = 0.5
+	// maxTries is the total number of tries of such a caller.
 	maxTries = 3
 )
 
-// request is one try of one caller.
+// request is one try of a caller's request.
 type request struct {
 	id         uint64
 	account    int
 	kind       int
 	class      config.Class
-	size       float64 // true work
+	size       float64 // actual work, in seconds on an otherwise idle engine
 	estimate   float64
-	patience   time.Duration // from sending to the deadline
+	patience   time.Duration // time from sending to the deadline
 	prefix     uint64
 	idempotent bool
 	poison     bool
 	long       bool
-	returns    bool
+	resends    bool
 	tries      int
-	first      time.Time // first sent
-	sent       time.Time // this try
+	first      time.Time // when the first try was sent
+	sent       time.Time // when this try was sent
 	deadline   time.Time
 }
 
-// meanSize is the mean work of a request.
+// meanSize returns the mean work of a request.
 func (w *Workload) meanSize() float64 {
 	sum := 0.0
 	for _, k := range w.kinds {
@@ -104,58 +109,60 @@
 	return sum
 }
 
-// generator makes one account's requests from its own random stream, so that all
-// variants of a run with the same seed get the same ones, and the other accounts
-// the same with a hot caller as without.
+// generator generates one account's requests from a random stream of its own. All
+// variants of a run with the same seed therefore get the same requests, and a hot
+// caller doesn't change the requests of the other accounts.
 type generator struct {
-	w       *Workload
-	s       *Scenario
-	account int
-	rng     *rand.Rand
-	zipf    *rand.Zipf
-	made    uint64
+	w         *Workload
+	s         *Scenario
+	account   int
+	rng       *rand.Rand
+	zipf      *rand.Zipf
+	generated uint64
 }
 
-// accountIDs is the distance between the ids of two accounts' requests.
-const accountIDs = 1 << 40
+// idsPerAccount is the distance between the first request ids of two accounts.
+const idsPerAccount = 1 << 40
 
 func newGenerator(w *Workload, s *Scenario, seed uint64, account int) *generator {
 	rng := rand.New(rand.NewPCG(seed, uint64(1000+account)))
-	return &generator{w: w, s: s, account: account, rng: rng, zipf: rand.NewZipf(rng, 1.2, 4, prefixes-1)}
+	return &generator{w: w, s: s, account: account, rng: rng, zipf: rand.NewZipf(rng, 1.2, 4, sharedPrefixes-1)}
 }
 
-// interval is the time to the next request of the account at its mean rate.
+// interval returns the time to the account's next request at the given mean rate.
 func (g *generator) interval(rate float64) time.Duration {
 	return time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
+// logNormal draws from a log-normal distribution with the given mean.
 func (g *generator) logNormal(mean, sigma float64) float64 {
 	return mean * math.Exp(sigma*g.rng.NormFloat64()-sigma*sigma/2)
 }
 
-func (g *generator) make() *request {
-	g.made++
+// newRequest generates the account's next request.
+func (g *generator) newRequest() *request {
+	g.generated++
 	k := g.pickKind()
 	if g.s.HotImmediate && g.account == hotAccount {
 		k = 0
 	}
 	spec := g.w.kinds[k]
 	r := &request{
-		id: uint64(g.account)*accountIDs + g.made, account: g.account, kind: k, class: spec.class,
+		id: uint64(g.account)*idsPerAccount + g.generated, account: g.account, kind: k, class: spec.class,
 		size:       g.logNormal(spec.size, sizeSpread),
 		patience:   spec.deadline,
 		idempotent: spec.idempotent,
-		returns:    g.rng.Float64() < comesBack,
+		resends:    g.rng.Float64() < resendShare,
 	}
 	isLong := g.rng.Float64() < g.s.LongShare
 	usesPrefix := g.rng.Float64() < g.s.PrefixShare
 	prefix := g.zipf.Uint64() + 1
-	if g.rng.Float64() < g.s.HotKey {
-		usesPrefix, prefix = true, prefixes+1
+	if g.rng.Float64() < g.s.HotPrefixShare {
+		usesPrefix, prefix = true, sharedPrefixes+1
 	}
 	if isLong {
 		r.long = true
-		r.size = g.logNormal(longJob*g.w.meanSize(), sizeSpread)
+		r.size = g.logNormal(longSizeFactor*g.w.meanSize(), sizeSpread)
 		r.patience = longPatience
 		r.class = config.ClassInteractive
 	}
@@ -167,11 +174,13 @@
 }
 
 const (
-	// longJob is a long request's mean work, in mean requests; longPatience its deadline.
-	longJob      = 20
-	longPatience = 300 * time.Second
+	// longSizeFactor is the mean work of a long request as a multiple of the mean
+	// request, and longPatience its deadline.
+	longSizeFactor = 20
+	longPatience   = 300 * time.Second
 )
 
+// pickKind draws a kind according to the shares and returns its index.
 func (g *generator) pickKind() int {
 	x := g.rng.Float64()
 	for i, k := range g.w.kinds {
