--- a/policy/versiontest/cascade.go
+++ b/policy/versiontest/cascade.go
@@ -9,7 +9,7 @@
 	"goldcrestfork/policy/cascade"
 )
 
-// task is one kind of request: its share of the mix and the mean quality that
+// task is one kind of request, with its share of the mix and the mean quality that
 // each version of the chain reaches on it.
 type task struct {
 	label   string
@@ -17,15 +17,15 @@
 	quality [3]float64
 }
 
-// Mix is a mix of tasks. The figures are invented: the brief says that cheap
-// versions suffice for many requests, not for how many.
+// Mix is a mix of tasks. The shares and qualities are assumptions: cheap versions
+// are known to suffice for many requests, but not for what share of them.
 type Mix struct {
 	Name  string
 	tasks []task
 }
 
-// Mixes are the ones measured: many easy tasks, as the brief says, and its
-// contrary, where a cascade can only lose.
+// Mixes returns the simulated mixes: one with many easy tasks, and one with few, in
+// which a cascade can only lose.
 func Mixes() []Mix {
 	return []Mix{
 		{"many easy", []task{
@@ -43,8 +43,8 @@
 }
 
 const (
-	// answerSpread and ratingSpread are standard deviations of an answer's quality
-	// around the task's mean and of a rating around the quality.
+	// answerSpread is the standard deviation of an answer's quality around the
+	// task's mean, and ratingSpread that of a rating around the quality.
 	answerSpread = 0.08
 	ratingSpread = 0.05
 	// target is the account's quality target.
@@ -53,7 +53,8 @@
 	answerTokens = 1000
 )
 
-// chain is three versions priced as a small, a middle and a large model.
+// chain returns three versions with the prices of a small, a middle and a large
+// model.
 func chain() []*config.ModelVersion {
 	version := func(name string, cost int64, quality float64) *config.ModelVersion {
 		return &config.ModelVersion{Meta: config.Meta{Name: name}, State: config.VersionServing, Cost: cost, Quality: quality}
@@ -64,56 +65,60 @@
 // Strategy is a way to choose versions.
 type Strategy struct {
 	Name string
-	// Learner decides; nil for a fixed version.
+	// Learner plans the steps; it is nil for a fixed version.
 	Learner *cascade.Learner
-	// Fixed is the version's place in the chain.
+	// Fixed is the index in the chain of the version that a strategy without a
+	// Learner uses.
 	Fixed int
-	// RatingDown is the share of the time, in one piece, that no rating comes.
+	// RatingDown is the share of the simulated time, as one interval, in which no
+	// ratings arrive.
 	RatingDown float64
 }
 
-// Strategies are the baselines, the cascade and its parts taken out.
+// Strategies returns the baselines, the cascade, and the cascade without some of
+// its parts.
 func Strategies() []Strategy {
-	never := cascade.DefaultSettings()
-	never.MaxKinds, never.ExploreShare = 1, 1 // explores always: the whole chain each time
-	plain := cascade.DefaultSettings()
-	plain.Margin = 0
+	noLearning := cascade.DefaultSettings()
+	noLearning.MaxKinds, noLearning.ExploreShare = 1, 1 // explores the whole chain for every request
+	noMargin := cascade.DefaultSettings()
+	noMargin.Margin = 0
 	learner := func(s cascade.Settings) *cascade.Learner { return cascade.NewLearner(s) }
 	return []Strategy{
 		{Name: "always best", Fixed: 2},
 		{Name: "always cheap", Fixed: 0},
-		{Name: "cheap first, no learning", Learner: learner(never)},
-		{Name: "cascade, no margin", Learner: learner(plain)},
+		{Name: "cheap first, no learning", Learner: learner(noLearning)},
+		{Name: "cascade, no margin", Learner: learner(noMargin)},
 		{Name: "cascade", Learner: learner(cascade.DefaultSettings())},
 		{Name: "cascade, latency weights", Learner: learner(cascade.LatencySettings())},
 		{Name: "cascade, ratings down 1/3", Learner: learner(cascade.DefaultSettings()), RatingDown: 1.0 / 3},
 	}
 }
 
-// CascadeResult is what callers and the account got.
+// CascadeResult holds the averages over a simulation's requests.
 type CascadeResult struct {
-	// Cost is the mean cost of a request, relative to the best version's.
+	// Cost is the mean cost of a request, relative to that of the best version.
 	Cost float64
-	// Quality is the mean true quality, Below the share of answers below the target.
+	// Quality is the mean true quality, and Below the share of answers below the
+	// target.
 	Quality, Below float64
-	// Discarded is the number of tries for nothing, a request: each is a whole
-	// answer that the caller waited for.
+	// Discarded is the mean number of discarded answers for each request. The
+	// caller waits for each of them in full.
 	Discarded float64
 }
 
 var errNoRating = errors.New("no rating")
 
-// PlayCascade sends n requests of the mix, ten a second.
-func PlayCascade(m Mix, s Strategy, n int, seed uint64) CascadeResult {
+// SimulateCascade sends n requests of the mix at ten a second.
+func SimulateCascade(m Mix, s Strategy, n int, seed uint64) CascadeResult {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	account := &config.ClientAccount{Meta: config.Meta{Name: "account"}, Quality: target}
-	p := player{mix: m, strategy: s, rng: rng, account: account, chain: chain()}
+	p := cascadeSimulation{mix: m, strategy: s, rng: rng, account: account, chain: chain()}
 	var r CascadeResult
 	for i := range n {
 		p.now = time.Unix(0, 0).Add(time.Duration(i) * 100 * time.Millisecond)
 		at := float64(i) / float64(n)
 		p.ratingDown = at >= 1.0/3 && at < 1.0/3+s.RatingDown
-		p.play(&r)
+		p.send(&r)
 	}
 	r.Cost /= float64(n) * float64(p.chain[len(p.chain)-1].Cost)
 	r.Quality /= float64(n)
@@ -122,7 +127,8 @@
 	return r
 }
 
-type player struct {
+// cascadeSimulation is the state of a cascade simulation.
+type cascadeSimulation struct {
 	mix        Mix
 	strategy   Strategy
 	rng        *rand.Rand
@@ -132,20 +138,20 @@
 	ratingDown bool
 }
 
-// play sends one request.
-func (p *player) play(r *CascadeResult) {
-	t := p.draw()
-	// One draw a request is common to all versions: a hard one is hard for each.
-	hard := p.rng.NormFloat64() * answerSpread / 2
+// send simulates one request and adds its outcome to r.
+func (p *cascadeSimulation) send(r *CascadeResult) {
+	t := p.drawTask()
+	// One draw applies to all versions, since a hard request is hard for each of them.
+	difficulty := p.rng.NormFloat64() * answerSpread / 2
 	var qualities [3]float64
 	for i := range qualities {
-		qualities[i] = min(1, max(0, t.quality[i]+hard+p.rng.NormFloat64()*answerSpread))
+		qualities[i] = min(1, max(0, t.quality[i]+difficulty+p.rng.NormFloat64()*answerSpread))
 	}
 	accepted := p.strategy.Fixed
 	if p.strategy.Learner == nil {
 		r.Cost += float64(p.chain[accepted].Cost)
 	} else {
-		accepted = p.cascade(t, qualities, r)
+		accepted = p.runPlan(t, qualities, r)
 	}
 	r.Quality += qualities[accepted]
 	if qualities[accepted] < target {
@@ -153,34 +159,36 @@
 	}
 }
 
-// cascade runs a request's plan and returns the accepted version's place.
-func (p *player) cascade(t task, qualities [3]float64, r *CascadeResult) int {
+// runPlan runs a request's plan and returns the chain index of the accepted
+// version.
+func (p *cascadeSimulation) runPlan(t task, qualities [3]float64, r *CascadeResult) int {
 	req := cascade.Request{
 		Label: t.label, PromptTokens: 500, MaxTokens: answerTokens,
 		Class: config.ClassDeferrable, Repeatable: true,
 	}
 	plan, err := p.strategy.Learner.Plan(p.account, p.chain, req, p.now, p.rng)
 	if err != nil {
-		panic(err) // the mix has neither caps nor forbidden versions
+		panic(err) // Plan only fails for spend caps and forbidden versions, which the mix doesn't have
 	}
 	spent := int64(0)
 	for i, step := range plan.Steps {
-		place := p.place(step.Version)
+		index := p.chainIndex(step.Version)
 		spent += step.Cost
 		r.Cost += float64(step.Cost)
-		o := cascade.Outcome{Spent: spent, Rating: qualities[place] + p.rng.NormFloat64()*ratingSpread}
+		o := cascade.Outcome{Spent: spent, Rating: qualities[index] + p.rng.NormFloat64()*ratingSpread}
 		if p.ratingDown {
 			o.RatingErr = errNoRating
 		}
 		if p.strategy.Learner.Judge(plan, i, o, p.now).Action == cascade.Accept {
-			return place
+			return index
 		}
 		r.Discarded++
 	}
 	panic("a plan ended without an answer")
 }
 
-func (p *player) place(version string) int {
+// chainIndex returns the index of a version in the chain.
+func (p *cascadeSimulation) chainIndex(version string) int {
 	for i, v := range p.chain {
 		if v.Name == version {
 			return i
@@ -189,8 +197,8 @@
 	panic("a plan with a version outside its chain")
 }
 
-// draw picks a task by its share.
-func (p *player) draw() task {
+// drawTask draws a task according to the shares.
+func (p *cascadeSimulation) drawTask() task {
 	x := p.rng.Float64()
 	for _, t := range p.mix.tasks {
 		if x < t.share {
--- a/policy/versiontest/cmd/versiontable/main.go
+++ b/policy/versiontest/cmd/versiontable/main.go
@@ -1,5 +1,5 @@
-// Command versiontable prints the measurements of the decisions on versions
-// beside their baselines, as kept in docs/DECISIONS-versions.md.
+// Command versiontable prints the measurements of the decisions on model versions
+// and of their baselines, as recorded in docs/DECISIONS-versions.md.
 package main
 
 import (
@@ -40,7 +40,7 @@
 	w := table("Cascade", "mix\tstrategy\tcost of always best\tmean quality\tbelow target\ttries for nothing")
 	for _, m := range versiontest.Mixes() {
 		for _, s := range versiontest.Strategies() {
-			r := versiontest.PlayCascade(m, s, o.Requests, o.Seed)
+			r := versiontest.SimulateCascade(m, s, o.Requests, o.Seed)
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%.1f%%\t%.3f\t%.2f%%\t%.2f\n",
 				m.Name, s.Name, 100*r.Cost, r.Quality, 100*r.Below, r.Discarded)
 		}
@@ -56,7 +56,7 @@
 		var exposed []int
 		var share float64
 		for i := range o.RollOuts {
-			r := versiontest.PlayRollOut(c, true, o.Seed+uint64(i))
+			r := versiontest.SimulateRollOut(c, true, o.Seed+uint64(i))
 			if r.Stopped {
 				stopped++
 				if r.Steps == 0 {
@@ -75,7 +75,7 @@
 			_, _ = fmt.Fprintf(w, "%s\t%d/%d\t%d\t%d\t-\t-\t-\t-\t-\n", c.Name, stopped, n, done, first)
 			continue
 		}
-		base := versiontest.PlayRollOut(c, false, o.Seed)
+		base := versiontest.SimulateRollOut(c, false, o.Seed)
 		_, _ = fmt.Fprintf(w, "%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%.3f%%\t%.0f%%\n", c.Name, stopped, n, done, first,
 			exposed[n/2], exposed[n*95/100], exposed[n-1], 100*share, 100*base.Share)
 	}
@@ -88,7 +88,7 @@
 	for _, ramp := range []time.Duration{0, 15 * time.Second, 30 * time.Second, time.Minute, 2 * time.Minute} {
 		var all []versiontest.ReturnResult
 		for i := range o.Returns {
-			all = append(all, versiontest.PlayReturn(ramp, o.Seed+uint64(i)))
+			all = append(all, versiontest.SimulateReturn(ramp, o.Seed+uint64(i)))
 		}
 		slices.SortFunc(all, func(a, b versiontest.ReturnResult) int { return b.Late - a.Late })
 		r := all[len(all)/2]
--- a/policy/versiontest/datacentre.go
+++ b/policy/versiontest/datacentre.go
@@ -10,30 +10,33 @@
 	"goldcrestfork/policy/datacentre"
 )
 
-// The play of a data centre's return: three data centres as Norte's, each one
-// queue. What the play leaves out: admission, cold-start limits, retries.
+// The simulation of a data centre's return has three data centres, each with a single
+// queue. It leaves out admission, cold-start limits and retries.
 const (
-	returnRate = 1080.0 // requests a second: 60% of what three warm data centres bear
-	dcCapacity = 600.0  // units of work a second of one data centre
-	// warmWork and coldWork are a request's units with its prefix cached and
-	// without: without, the whole prompt is computed.
+	returnRate = 1080.0 // requests per second, 60% of the capacity of three warm data centres
+	dcCapacity = 600.0  // capacity of one warm data centre, in requests per second
+	// warmWork and coldWork are the units of work of a request whose prefix is
+	// cached and of one whose prefix isn't. Without the cached prefix, the whole
+	// prompt is computed.
 	warmWork, coldWork = 1.0, 4.0
-	// cacheHits is the share of requests with a cached prefix in a warm data centre;
-	// an empty one gets there as exp(-served/cacheFill) fades.
-	cacheHits, cacheFill = 0.8, 5000.0
-	// loadLag is the age of the load reports that the VMs choose by.
-	loadLag = 2 * time.Second
-	// deadline is when a caller with a customer at the counter gives up.
+	// warmHitRatio is the share of requests with a cached prefix in a warm data
+	// centre. An empty data centre approaches this share as
+	// exp(-served/cacheFillRequests) decays.
+	warmHitRatio, cacheFillRequests = 0.8, 5000.0
+	// reportInterval is the period of the load reports that the VMs choose by.
+	reportInterval = 2 * time.Second
+	// deadline is the wait after which a caller with a customer at the counter
+	// gives up.
 	deadline = time.Second
-	// returnPlay is how long callers are watched after the return.
-	returnPlay = 2 * time.Minute
+	// returnTime is how long callers are observed after the return.
+	returnTime = 2 * time.Minute
 )
 
-// ReturnResult is what callers received in the two minutes after the return.
+// ReturnResult holds what callers received in the two minutes after the return.
 type ReturnResult struct {
 	// Completed is the share of requests answered within the deadline.
 	Completed float64
-	// Worst is that share in the worst second.
+	// Worst is the lowest such share of any second.
 	Worst float64
 	// P99 is the 99th percentile of all waits.
 	P99 time.Duration
@@ -41,40 +44,46 @@
 	Late int
 }
 
-type returnPlayer struct {
+// returnSimulation is the state of a simulation of a data centre's return.
+type returnSimulation struct {
 	rng     *rand.Rand
 	tracker *datacentre.Tracker
 	names   []string
-	// free is when each data centre's queue is empty, in seconds; served how many it took.
-	free, served []float64
-	// reported are the queues, in seconds of work, as the VMs know them.
-	reported []float64
+	// freeAt is when each data centre's queue becomes empty, in seconds; served is
+	// the number of requests that it took.
+	freeAt, served []float64
+	// reportedQueues are the last reported queue lengths, in seconds of work.
+	reportedQueues []float64
 }
 
-// PlayReturn takes the first data centre out, lets the others carry the load for
-// a minute, and brings it back empty, with the given ramp; zero is no ramp.
-func PlayReturn(ramp time.Duration, seed uint64) ReturnResult {
-	p := &returnPlayer{
-		rng:      rand.New(rand.NewPCG(seed, 2)),
-		tracker:  datacentre.NewTracker(datacentre.Settings{RampTime: ramp, Floor: datacentre.DefaultSettings().Floor}),
-		names:    []string{"norte-a", "norte-b", "norte-c"},
-		free:     make([]float64, 3),
-		served:   []float64{math.Inf(1), math.Inf(1), math.Inf(1)},
-		reported: make([]float64, 3),
+// SimulateReturn takes the first data centre out of service, lets the others carry
+// the load for a minute, and then returns it with an empty cache. The ramp is the
+// time over which its weight rises; zero disables it.
+func SimulateReturn(ramp time.Duration, seed uint64) ReturnResult {
+	p := &returnSimulation{
+		rng:            rand.New(rand.NewPCG(seed, 2)),
+		tracker:        datacentre.NewTracker(datacentre.Settings{RampTime: ramp, Floor: datacentre.DefaultSettings().Floor}),
+		names:          []string{"norte-a", "norte-b", "norte-c"},
+		freeAt:         make([]float64, 3),
+		served:         []float64{math.Inf(1), math.Inf(1), math.Inf(1)},
+		reportedQueues: make([]float64, 3),
 	}
 	p.observe(true, 0)
 	p.observe(false, 0)
 	p.serve(0, 60)
 	p.observe(true, 60)
 	p.served[0] = 0
-	return summarise(p.serve(60, 60+returnPlay.Seconds()))
+	return summarise(p.serve(60, 60+returnTime.Seconds()))
 }
 
+// clock converts seconds of simulated time to a time.Time.
 func clock(seconds float64) time.Time {
 	return time.Unix(0, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func (p *returnPlayer) observe(in bool, at float64) {
+// observe reports all data centres to the tracker, with the first one in or out of
+// service.
+func (p *returnSimulation) observe(in bool, at float64) {
 	states := make(map[string]*config.DataCentre)
 	for _, name := range p.names {
 		states[name] = &config.DataCentre{Meta: config.Meta{Name: name}, State: config.DataCentreIn}
@@ -85,43 +94,45 @@
 	p.tracker.Observe(states, clock(at))
 }
 
-// arrival is one request's second of arrival and wait.
-type arrival struct{ at, wait float64 }
+// requestWait holds the arrival time of a request and its wait, in seconds.
+type requestWait struct{ at, wait float64 }
 
-// serve plays Poisson arrivals between two times.
-func (p *returnPlayer) serve(from, to float64) []arrival {
-	var out []arrival
+// serve simulates Poisson arrivals between two times.
+func (p *returnSimulation) serve(from, to float64) []requestWait {
+	var out []requestWait
 	nextReport := from
 	for at := from; at < to; at += p.rng.ExpFloat64() / returnRate {
 		if at >= nextReport {
-			for i := range p.reported {
-				p.reported[i] = max(0, p.free[i]-at)
+			for i := range p.reportedQueues {
+				p.reportedQueues[i] = max(0, p.freeAt[i]-at)
 			}
-			nextReport += loadLag.Seconds()
+			nextReport += reportInterval.Seconds()
 		}
-		out = append(out, arrival{at - from, p.request(at)})
+		out = append(out, requestWait{at - from, p.request(at)})
 	}
 	return out
 }
 
-// request sends one to a data centre and returns its wait.
-func (p *returnPlayer) request(at float64) float64 {
+// request assigns a request to a data centre and returns its wait in seconds.
+func (p *returnSimulation) request(at float64) float64 {
 	i := p.pick(at)
-	hits := cacheHits * (1 - math.Exp(-p.served[i]/cacheFill))
+	hits := warmHitRatio * (1 - math.Exp(-p.served[i]/cacheFillRequests))
 	p.served[i]++
 	work := coldWork
 	if p.rng.Float64() < hits {
 		work = warmWork
 	}
-	p.free[i] = max(at, p.free[i]) + work/dcCapacity/meanWarmWork
-	return p.free[i] - at
+	p.freeAt[i] = max(at, p.freeAt[i]) + work/dcCapacity/meanWarmWork
+	return p.freeAt[i] - at
 }
 
-// meanWarmWork scales work so that dcCapacity is in requests of a warm data centre.
-const meanWarmWork = cacheHits*warmWork + (1-cacheHits)*coldWork
+// meanWarmWork is the mean work of a request in a warm data centre. It scales the
+// work so that dcCapacity is in requests per second.
+const meanWarmWork = warmHitRatio*warmWork + (1-warmHitRatio)*coldWork
 
-// pick is choice of two by reported queue, among the data centres admitted now.
-func (p *returnPlayer) pick(at float64) int {
+// pick selects a data centre by power of two choices on the reported queues, among
+// those that currently admit requests.
+func (p *returnSimulation) pick(at float64) int {
 	var admitted, positive []int
 	for i, name := range p.names {
 		if p.tracker.Weight(name, clock(at)) > 0 {
@@ -135,15 +146,16 @@
 		admitted = positive
 	}
 	a, b := admitted[p.rng.IntN(len(admitted))], admitted[p.rng.IntN(len(admitted))]
-	if p.reported[b] < p.reported[a] {
+	if p.reportedQueues[b] < p.reportedQueues[a] {
 		return b
 	}
 	return a
 }
 
-func summarise(all []arrival) ReturnResult {
+// summarise computes the result from the waits of all requests.
+func summarise(all []requestWait) ReturnResult {
 	var r ReturnResult
-	seconds := make([]struct{ good, all int }, int(returnPlay.Seconds())+1)
+	seconds := make([]struct{ good, all int }, int(returnTime.Seconds())+1)
 	waits := make([]float64, 0, len(all))
 	for _, a := range all {
 		s := &seconds[int(a.at)]
--- a/policy/versiontest/doc.go
+++ b/policy/versiontest/doc.go
@@ -1,9 +1,9 @@
-// Package versiontest plays requests against the decisions on versions (cascade,
-// roll-out, data centre return) and their plain baselines, with the same seeds,
-// and judges them by what callers receive. Its figures stand in
+// Package versiontest simulates the decisions on model versions (cascade, roll-out,
+// data centre return) and their plain baselines with the same seeds, and compares
+// them by what callers receive. The results are recorded in
 // docs/DECISIONS-versions.md.
 //
-// The plays are models of one decision each, not of the system: answers have a
-// quality drawn from a table, failures are independent draws, a data centre is
-// one queue.
+// Each simulation models one decision and not the whole system: the quality of an
+// answer is drawn around a value from a table, failures are independent draws, and
+// a data centre is a single queue.
 package versiontest
--- a/policy/versiontest/rollout.go
+++ b/policy/versiontest/rollout.go
@@ -9,41 +9,43 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// Rates are a version's rates of bad events.
+// Rates are a version's rates of bad events, from 0 to 1.
 type Rates struct{ Errors, Slow, Poor float64 }
 
-// usual are a good version's: failures and late answers are rare, poor ratings are not.
-var usual = Rates{Errors: 0.01, Slow: 0.02, Poor: 0.10}
+// goodRates are the rates of a good version. Failures and slow answers are rare,
+// poor ratings are not.
+var goodRates = Rates{Errors: 0.01, Slow: 0.02, Poor: 0.10}
 
-// Case is a version to roll out.
+// Case describes a new version and its traffic in a roll-out.
 type Case struct {
 	Name string
-	// To are the new version's rates from Turns on; before it is as the old one.
-	To    Rates
-	Turns time.Duration
-	// Burst has half of both versions' requests fail in one minute out of ten.
+	// To holds the new version's rates from DegradesAfter on. Before, they equal
+	// those of the old version.
+	To            Rates
+	DegradesAfter time.Duration
+	// Burst makes half of both versions' requests fail during one minute in ten.
 	Burst bool
-	// Session is the number of requests of one session; a bad session fails as a
-	// whole. One is independent requests.
-	Session int
+	// SessionLength is the number of requests in a session. All requests of a
+	// session end alike; with a length of one, requests are independent.
+	SessionLength int
 }
 
-// Equal says that the new version is as good as the old one.
-func (c Case) Equal() bool { return c.To == usual }
+// Equal reports whether the new version is as good as the old one.
+func (c Case) Equal() bool { return c.To == goodRates }
 
-// Cases are the ones measured.
+// Cases returns the simulated cases.
 func Cases() []Case {
 	with := func(name string, change func(*Rates)) Case {
-		c := Case{Name: name, To: usual, Session: 1}
+		c := Case{Name: name, To: goodRates, SessionLength: 1}
 		change(&c.To)
 		return c
 	}
 	late := with("errors 1% to 20%, after 4 min", func(r *Rates) { r.Errors = 0.20 })
-	late.Turns = 4 * time.Minute
+	late.DegradesAfter = 4 * time.Minute
 	burst := with("equal, bursts that fail both", func(*Rates) {})
 	burst.Burst = true
 	sessions := with("equal, sessions of 5 fail whole", func(*Rates) {})
-	sessions.Session = 5
+	sessions.SessionLength = 5
 	return []Case{
 		with("equal", func(*Rates) {}),
 		burst,
@@ -61,26 +63,30 @@
 }
 
 const (
-	// requestsPerSecond is one model's traffic: a tenth of the letter's 12,000 a
-	// second over 19 models, so that a play of a day stays short.
+	// requestsPerSecond is the traffic of one model. It is about a tenth of 12,000
+	// requests a second over 19 models, so that the simulation of a day stays
+	// short.
 	requestsPerSecond = 60
-	// vms is how many count apart; each report is lost one time in ten.
-	vms        = 7
-	reportLost = 0.1
+	// vmCount is the number of VMs that count outcomes separately. Each of their
+	// reports is lost with the probability reportLossRate.
+	vmCount        = 7
+	reportLossRate = 0.1
 )
 
-// steps are the shares of a roll-out.
+// steps are the shares of the new version in percent.
 var steps = []float64{5, 25, 50, 100}
 
-// baselineStep is how long the baseline, a fixed schedule without comparison, stays in a step.
-const baselineStep = time.Hour
+// baselineStepTime is the time in a step of the baseline, which follows a fixed
+// schedule without a comparison.
+const baselineStepTime = time.Hour
 
-// RollOutResult is how a roll-out went.
+// RollOutResult is the outcome of a simulated roll-out.
 type RollOutResult struct {
-	// Stopped says that it was paused or rolled back, Done that it came to its end.
+	// Stopped says that the roll-out was paused or rolled back, and Done that it
+	// finished.
 	Stopped, Done bool
-	// Exposed is the number of requests that the new version served while bad,
-	// until it was stopped or the day ended.
+	// Exposed is the number of requests that the new version served after
+	// DegradesAfter, until it was stopped or the day ended.
 	Exposed int
 	// Share is Exposed as a share of the model's requests of a day.
 	Share float64
@@ -88,9 +94,10 @@
 	Steps int
 }
 
-// PlayRollOut rolls a version out with the comparison, or by the fixed schedule.
-func PlayRollOut(c Case, compared bool, seed uint64) RollOutResult {
-	p := rollOutPlay{
+// SimulateRollOut simulates a roll-out for up to a day, with the comparison of
+// versions or by the fixed schedule.
+func SimulateRollOut(c Case, compared bool, seed uint64) RollOutResult {
+	p := rollOutSimulation{
 		c: c, rng: rand.New(rand.NewPCG(seed, 1)),
 		monitor: rollout.NewMonitor(rollout.DefaultSettings()),
 		r: &config.RollOut{
@@ -104,9 +111,9 @@
 	for p.second = 0; p.second < 24*3600; p.second++ {
 		p.serve()
 		if compared {
-			p.judge()
+			p.evaluate()
 		} else {
-			p.schedule()
+			p.followSchedule()
 		}
 		if p.result.Stopped || p.result.Done && (c.Equal() || compared) {
 			break
@@ -116,44 +123,45 @@
 	return p.result
 }
 
-type rollOutPlay struct {
-	c       Case
-	rng     *rand.Rand
-	monitor *rollout.Monitor
-	r       *config.RollOut
-	second  int
-	vms     [vms]*rollout.Recorder
-	result  RollOutResult
-	since   int
-	session int
+// rollOutSimulation is the state of a roll-out simulation.
+type rollOutSimulation struct {
+	c         Case
+	rng       *rand.Rand
+	monitor   *rollout.Monitor
+	r         *config.RollOut
+	second    int
+	vms       [vmCount]*rollout.Recorder
+	result    RollOutResult
+	stepStart int
+	sessions  int
 }
 
-// serve plays one second's requests.
-func (p *rollOutPlay) serve() {
-	turned := time.Duration(p.second)*time.Second >= p.c.Turns
+// serve simulates the requests of one second.
+func (p *rollOutSimulation) serve() {
+	degraded := time.Duration(p.second)*time.Second >= p.c.DegradesAfter
 	burst := p.c.Burst && p.second%600 < 60
-	for range requestsPerSecond / p.c.Session {
-		p.session++
-		key := strconv.Itoa(p.session)
+	for range requestsPerSecond / p.c.SessionLength {
+		p.sessions++
+		key := strconv.Itoa(p.sessions)
 		choice, _ := rollout.Choose(p.r, key, func(string) bool { return true })
-		rates := usual
-		if choice.Arm == rollout.ArmTo && turned {
+		rates := goodRates
+		if choice.Arm == rollout.ArmTo && degraded {
 			rates = p.c.To
-			p.result.Exposed += p.c.Session
+			p.result.Exposed += p.c.SessionLength
 		}
 		if burst {
 			rates.Errors = 0.5
 		}
-		p.outcome(choice.Arm, key, rates)
+		p.recordSession(choice.Arm, key, rates)
 	}
 }
 
-// outcome plays one session's requests, which end alike.
-func (p *rollOutPlay) outcome(arm rollout.Arm, key string, r Rates) {
+// recordSession simulates the requests of one session, which end alike.
+func (p *rollOutSimulation) recordSession(arm rollout.Arm, key string, r Rates) {
 	o := rollout.Outcome{Failed: p.rng.Float64() < r.Errors, Slow: p.rng.Float64() < r.Slow}
 	poor := p.rng.Float64() < r.Poor
-	vm := p.vms[p.rng.IntN(vms)]
-	for range p.c.Session {
+	vm := p.vms[p.rng.IntN(vmCount)]
+	for range p.c.SessionLength {
 		vm.Request(p.r, arm, key, o)
 		if !o.Failed {
 			vm.Rating(p.r, arm, key, poor)
@@ -161,14 +169,14 @@
 	}
 }
 
-// judge is one round of the controller.
-func (p *rollOutPlay) judge() {
+// evaluate runs one round of the controller.
+func (p *rollOutSimulation) evaluate() {
 	now := time.Unix(0, 0).Add(time.Duration(p.second) * time.Second)
 	p.monitor.Begin(p.r.Revision, now)
 	s := &config.Snapshot{RollOuts: map[string]*config.RollOut{p.r.Name: p.r}}
 	for _, vm := range p.vms {
 		for _, n := range vm.Counts(s) {
-			if p.rng.Float64() >= reportLost {
+			if p.rng.Float64() >= reportLossRate {
 				p.monitor.Add(n)
 			}
 		}
@@ -183,9 +191,10 @@
 	}
 }
 
-// schedule is the baseline: a step each hour, whatever happens.
-func (p *rollOutPlay) schedule() {
-	if p.result.Done || time.Duration(p.second-p.since)*time.Second < baselineStep {
+// followSchedule is the baseline: it advances after each baselineStepTime, whatever
+// the outcomes are.
+func (p *rollOutSimulation) followSchedule() {
+	if p.result.Done || time.Duration(p.second-p.stepStart)*time.Second < baselineStepTime {
 		return
 	}
 	if p.r.Step == len(steps)-1 {
@@ -195,11 +204,12 @@
 	p.advance()
 }
 
-func (p *rollOutPlay) advance() {
+// advance takes the next step at a new revision.
+func (p *rollOutSimulation) advance() {
 	next := *p.r
 	next.Step++
 	next.Revision++
 	p.r = &next
 	p.result.Steps++
-	p.since = p.second
+	p.stepStart = p.second
 }
