--- a/policy/cascade/judge.go
+++ b/policy/cascade/judge.go
@@ -5,7 +5,7 @@
 // Action says how a request proceeds after a step.
 type Action int
 
-// The actions.
+// The values of Action.
 const (
 	// Accept sends the step's answer to the caller.
 	Accept Action = iota
--- a/policy/cascade/plan.go
+++ b/policy/cascade/plan.go
@@ -35,8 +35,8 @@
 	// Class is the priority class that applies to the request.
 	Class config.Class
 	// Repeatable says that the request may run more than once. The zero value leads
-	// to a plan of one step, so that a caller who forgets the field never runs an
-	// action twice.
+	// to a plan of one step, so that code which leaves the field unset never runs
+	// an action twice.
 	Repeatable bool
 	// Pinned says that a session is bound to the chain's first version.
 	Pinned bool
@@ -45,7 +45,7 @@
 // Reason says why a plan or a decision was made. It is a metric label.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
 	ReasonCheapFirst   Reason = "cheap first"
 	ReasonOnlyStep     Reason = "only step"
--- a/policy/loadtest/engine.go
+++ b/policy/loadtest/engine.go
@@ -52,9 +52,9 @@
 }
 
 // engine models one endpoint by processor sharing. Each request in the batch slows
-// down the others; above the knee the memory is full and the speed falls with the
-// square of the number of requests; requests above the slots are refused. The model
-// includes cold start and a cache of prompt prefixes.
+// down the others. Above the knee the memory is full and work is done twice, which
+// multiplies the speed by a further (knee/n)² for n requests. Requests above the
+// slots are refused. The model includes cold start and a cache of prompt prefixes.
 type engine struct {
 	loop               *loop
 	name               string
@@ -199,14 +199,14 @@
 	if len(e.jobs) == 0 {
 		return
 	}
-	version := e.scheduleGeneration
+	generation := e.scheduleGeneration
 	least := math.Inf(1)
 	for _, j := range e.jobs {
 		least = min(least, j.remaining)
 	}
 	wait := time.Duration(max(least, 0)/e.rate(len(e.jobs))*float64(time.Second)) + 1
 	e.loop.after(wait, func() {
-		if e.scheduleGeneration == version {
+		if e.scheduleGeneration == generation {
 			e.complete()
 		}
 	})
--- a/policy/loadtest/run.go
+++ b/policy/loadtest/run.go
@@ -87,7 +87,7 @@
 	for i := range r.workload.Endpoints {
 		e := newEngine(r.loop, fmt.Sprintf("endpoint-%02d", i))
 		e.result = r.result
-		e.dataCentre = i % r.workload.DataCentre
+		e.dataCentre = i % r.workload.DataCentres
 		e.slots, e.coldSlots, e.knee = r.workload.Slots, r.workload.ColdSlots, r.workload.Slots
 		if r.scenario.KneeShare > 0 {
 			e.knee = int(r.scenario.KneeShare * float64(r.workload.Slots))
@@ -159,7 +159,7 @@
 	var specs []picker.Spec
 	for i, e := range r.engineOrder {
 		tier := picker.TierRegion
-		if e.dataCentre == vmIndex%r.workload.DataCentre {
+		if e.dataCentre == vmIndex%r.workload.DataCentres {
 			tier = picker.TierLocal
 		}
 		specs = append(specs, picker.Spec{
--- a/policy/loadtest/workload.go
+++ b/policy/loadtest/workload.go
@@ -19,19 +19,21 @@
 	idempotent bool
 }
 
-// Workload describes a pool and the requests that it serves.
+// Workload describes a pool and the requests that it serves. Endpoints, DataCentres
+// and VMs are numbers; Slots and ColdSlots are the concurrent requests of each
+// endpoint, in service and in cold start.
 type Workload struct {
-	Name                  string
-	Endpoints, DataCentre int
-	Slots, ColdSlots      int
-	VMs                   int
-	Weights               picker.Weights
-	kinds                 []kind
+	Name                   string
+	Endpoints, DataCentres int
+	Slots, ColdSlots       int
+	VMs                    int
+	Weights                picker.Weights
+	kinds                  []kind
 }
 
 // Cluj models a pool of 12 endpoints that mostly serves reports that may wait.
 var Cluj = Workload{
-	Name: "cluj", Endpoints: 12, DataCentre: 4, Slots: 16, ColdSlots: 2, VMs: 7,
+	Name: "cluj", Endpoints: 12, DataCentres: 4, Slots: 16, ColdSlots: 2, VMs: 7,
 	Weights: picker.WeightsCost,
 	kinds: []kind{
 		{0.20, config.ClassImmediate, 0.3, 4 * time.Second, true},     // plot lookups, tag checks
@@ -43,7 +45,7 @@
 
 // Norte models a pool of 9 endpoints that mostly serves short lookups at a till.
 var Norte = Workload{
-	Name: "norte", Endpoints: 9, DataCentre: 3, Slots: 8, ColdSlots: 1, VMs: 6,
+	Name: "norte", Endpoints: 9, DataCentres: 3, Slots: 8, ColdSlots: 1, VMs: 6,
 	Weights: picker.WeightsLatency,
 	kinds: []kind{
 		{0.55, config.ClassImmediate, 0.25, 2 * time.Second, true},   // till lookups
--- a/policy/rollout/brake.go
+++ b/policy/rollout/brake.go
@@ -10,10 +10,11 @@
 // bad and the configuration can't be changed yet.
 const ReasonBraked = "the new version is braked"
 
-// Brakes records new versions that were found bad while the platform's store is
-// down and the roll-out can't be rolled back. Requests without a session then avoid
-// these versions. Without Brakes, a version that degrades at the start of an outage
-// would keep its share until the outage ends.
+// Brakes holds local blocks, called brakes, of new versions that were found bad
+// while the platform's store is down and the roll-out can't be rolled back.
+// Requests without a session then avoid these versions. Without Brakes, a version
+// that degrades at the start of an outage would keep its share until the outage
+// ends.
 //
 // A brake applies to one epoch, so any change of the roll-out by an operator or the
 // controller ends it. Sessions are not affected: while the store is down every VM
--- a/policy/rollout/choose.go
+++ b/policy/rollout/choose.go
@@ -12,7 +12,7 @@
 // Arm is the side of the comparison that a request belongs to.
 type Arm int
 
-// The arms.
+// The values of Arm.
 const (
 	// ArmNone marks a request that is not part of the comparison.
 	ArmNone Arm = iota
@@ -32,7 +32,7 @@
 	Reason string
 }
 
-// The reasons of a choice.
+// The values of Choice.Reason.
 const (
 	ReasonShare  = "share of the roll-out"
 	ReasonUsable = "the other version is withdrawn or not allowed"
--- a/policy/rollout/evaluate.go
+++ b/policy/rollout/evaluate.go
@@ -50,7 +50,7 @@
 // Action is the change that a verdict requests for a roll-out.
 type Action int
 
-// The actions.
+// The values of Action.
 const (
 	// Hold leaves the roll-out unchanged.
 	Hold Action = iota
@@ -72,7 +72,7 @@
 // Signal is a kind of bad event on which the versions are compared.
 type Signal string
 
-// The signals.
+// The values of Signal.
 const (
 	SignalErrors  Signal = "errors"
 	SignalSlow    Signal = "slow"
--- a/policy/versiontest/versiontest_test.go
+++ b/policy/versiontest/versiontest_test.go
@@ -48,9 +48,10 @@
 	})
 }
 
-// A version that is clearly bad must be stopped within 200 of its requests, and a
-// slightly worse one within 1% of the model's requests of a day. A good version
-// must finish its roll-out, also while pools fail or sessions fail as a whole.
+// A version that is clearly bad at 5% of traffic must be stopped within 200 of its
+// requests, and a slightly worse one within 1% of the model's requests of a day. A
+// good version must finish its roll-out, also while pools fail or sessions fail as
+// a whole.
 func TestRollOuts(t *testing.T) {
 	within200 := map[string]bool{
 		"errors 1% to 20%": true, "errors 1% to 20%, after 4 min": true, "errors 1% to 100%": true,
