--- a/gateway/catalog/config.go
+++ b/gateway/catalog/config.go
@@ -6,75 +6,80 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind is the class of a route's requests. It determines whether a request may run more than
+// once.
 type Kind int
 
 // The kinds of requests.
 const (
-	// NonIdempotent requests run at most once for each attempt of a caller.
+	// NonIdempotent requests run at most once for each attempt that a caller makes.
 	NonIdempotent Kind = iota
-	// Idempotent requests may run again after any failure.
+	// Idempotent requests may be repeated after any failure.
 	Idempotent
-	// Streaming requests are answered by events; they may go on at another
-	// endpoint only where the route resumes streams.
+	// Streaming requests are answered with a stream of events. They may continue at another
+	// endpoint only if the route resumes streams.
 	Streaming
 )
 
-// String gives the kind's name in logs and metrics.
+// String returns the kind's name in logs and metrics.
 func (k Kind) String() string {
 	return [...]string{"non_idempotent", "idempotent", "streaming"}[k]
 }
 
-// Weighted is one branch of a route that is split over services.
+// Weighted is one service of a route that is split over several, with its share of the
+// requests.
 type Weighted struct {
 	Service string
 	Weight  float64
 }
 
-// Route sends the requests of a host below a path prefix to a service.
+// Route sends the requests for a host and a path prefix to one or more services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time a caller is kept waiting; 0 for no bound.
+	// Timeout bounds a request's time; 0 for no bound.
 	Timeout time.Duration
-	// Target is the latency within which an answer is on time (streams: its first event).
+	// Target is the time within which an answer is on time; for a stream, the time to its first
+	// event.
 	Target time.Duration
-	// MaxAttempts bounds the endpoints that one request is sent to.
+	// MaxAttempts bounds the endpoints that may run one request.
 	MaxAttempts int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the rank of the route's requests; 0 is the most urgent.
 	Priority int
-	// Services are the branches; one with weight 1 where the route isn't split.
+	// Services are the services that share the route's requests by weight; a route that isn't
+	// split has one with weight 1.
 	Services []Weighted
-	// Regions are where the request may run; empty for all.
+	// Regions are the regions in which the requests may run; empty for all.
 	Regions []string
-	// Anonymous routes need no key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
-	// Resume allows a stream to go on at another endpoint.
+	// Resume allows an interrupted stream to continue at another endpoint.
 	Resume bool
-	// Models are what the system may choose from, smallest first; empty where the
+	// Models are the models that the system may choose from, smallest first; empty if the
 	// caller names the model.
 	Models []string
 }
 
-// Service is what endpoints implement.
+// Service is a named service that endpoints serve.
 type Service struct {
 	Name string
-	// ColdRate is the requests a second that an endpoint in cold start bears, from all
-	// VMs together; 0 for no limit.
+	// ColdRate is the number of requests a second that an endpoint in cold start can handle,
+	// from all VMs together; 0 for no limit.
 	ColdRate float64
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority overrides the routes' when HasPriority.
+	// Priority overrides the priority of the routes if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send, and how long it may take or stay idle.
+// Limits bound the size of a caller's requests, the time to send the header, and how long a
+// connection may stay idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -82,26 +87,28 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the operators' configuration.
+// Config is one version of the operators' configuration. It is immutable.
 type Config struct {
-	// Version is the operators' own number, Revision the platform's, which orders configs.
+	// Version is the number that the operators chose. Revision is the platform's number, which
+	// orders configurations.
 	Version  int64
 	Revision int64
 	Services map[string]*Service
 	Limits   Limits
 
-	routes  map[string][]*Route
-	keys    map[string]*Account
-	keyed   bool
-	nRoutes int
+	routes       map[string][]*Route
+	keys         map[string]*Account
+	keysRequired bool
+	routeCount   int
 }
 
-// NewConfig indexes routes by host, longest prefix first, and accounts by key.
-func NewConfig(version, revision int64, routes []*Route, services []*Service, keys map[string]*Account, keyed bool, l Limits) *Config {
+// NewConfig returns a configuration with its routes indexed by host, longest prefix first. keys
+// maps API keys to accounts; keysRequired applies to routes that aren't anonymous.
+func NewConfig(version, revision int64, routes []*Route, services []*Service, keys map[string]*Account, keysRequired bool, l Limits) *Config {
 	c := &Config{
-		Version: version, Revision: revision, Limits: l, keys: keys, keyed: keyed,
+		Version: version, Revision: revision, Limits: l, keys: keys, keysRequired: keysRequired,
 		Services: make(map[string]*Service, len(services)),
-		routes:   make(map[string][]*Route), nRoutes: len(routes),
+		routes:   make(map[string][]*Route), routeCount: len(routes),
 	}
 	for _, s := range services {
 		c.Services[s.Name] = s
@@ -116,13 +123,13 @@
 	return c
 }
 
-// Routes is the number of routes.
-func (c *Config) Routes() int { return c.nRoutes }
+// Routes returns the number of routes.
+func (c *Config) Routes() int { return c.routeCount }
 
-// Keyed says whether callers need a key on routes that aren't anonymous.
-func (c *Config) Keyed() bool { return c.keyed }
+// Keyed reports whether callers need a key on routes that aren't anonymous.
+func (c *Config) Keyed() bool { return c.keysRequired }
 
-// Match returns the host's route with the longest prefix of path; nil for none.
+// Match returns the route of the host whose prefix of path is the longest; nil for none.
 func (c *Config) Match(host, path string) *Route {
 	for _, r := range c.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -132,5 +139,5 @@
 	return nil
 }
 
-// Account returns the account that holds a key; nil for none.
+// Account returns the account that a key belongs to; nil for none.
 func (c *Config) Account(key string) *Account { return c.keys[key] }
--- a/gateway/catalog/doc.go
+++ b/gateway/catalog/doc.go
@@ -1,7 +1,6 @@
-// Package catalog holds the operators' wishes for opaque requests as one VM knows
-// them: routes by host and path prefix, services, client accounts with their keys,
-// roll-outs, data centres that are out, and the endpoints that serve. Values are
-// immutable once published; a change is a new value.
+// Package catalog holds the configuration for opaque requests as one VM knows it: routes by
+// host and path prefix, services, client accounts with their keys, roll-outs, and the
+// endpoints. Values are immutable once published; a change is a new value.
 //
-// It has no network, no clock and no locks.
+// The package makes no network calls, reads no clock and holds no locks.
 package catalog
--- a/gateway/catalog/endpoint.go
+++ b/gateway/catalog/endpoint.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// Endpoint is one instance that serves a service, as it reported itself.
+// Endpoint is one instance of a service, as reported by the instance itself.
 type Endpoint struct {
-	// ID names one life of an endpoint; the address may be used again by another.
+	// ID identifies one incarnation of an endpoint; another one may use the address later.
 	ID         string
 	Service    string
 	Address    string // ip:port
 	DataCentre string
-	// Version is the version of its software.
+	// Version is the version that the endpoint runs.
 	Version string
 	Slots   int
-	// Draining endpoints get no new work.
+	// Draining endpoints get no new requests.
 	Draining bool
-	// Cold is how long it stays cold from the moment of the report.
+	// Cold is how long the endpoint stays in cold start, counted from the report.
 	Cold time.Duration
-	// Born is the start of this life in Unix milliseconds by its own clock; 0 if not
-	// said. An endpoint may start again under its id.
+	// Born is the start time of this incarnation in Unix milliseconds by the endpoint's own
+	// clock; 0 if unknown. An endpoint may restart under the same id.
 	Born int64
 }
 
-// RollOutState is how far a roll-out is.
+// RollOutState is the progress of a roll-out.
 type RollOutState string
 
 // The states of a roll-out.
 const (
 	RollOutRunning RollOutState = "running"
-	// RollOutMoving: the new version was found good and gets all requests; the old one's
-	// endpoints still end what they have.
+	// RollOutMoving: the new version was accepted and gets all requests; the old version's
+	// endpoints still finish theirs.
 	RollOutMoving     RollOutState = "moving"
 	RollOutCompleted  RollOutState = "completed"
 	RollOutRolledBack RollOutState = "rolled-back"
 )
 
-// RollOut asks that a service's requests move to the endpoints of a version.
+// RollOut is an operator's order to move a service's requests to the endpoints of a version.
 type RollOut struct {
-	// Name and Revision identify the order; Created orders one after another of the same service.
+	// Name and Revision identify the order. Created is the revision at which the order was
+	// made; it orders the roll-outs of a service.
 	Name     string
 	Revision int64
 	Created  int64
 	Service  string
 	Target   string
-	// Duration is the time that operators allow for it.
+	// Duration is the time that the operators allow for the roll-out.
 	Duration time.Duration
-	// State is the recorded decision on this target; empty for none yet.
+	// State is the recorded decision on the roll-out to Target; empty if there is none yet.
 	State RollOutState
 }
--- a/gateway/sse/sse.go
+++ b/gateway/sse/sse.go
@@ -1,7 +1,6 @@
-// Package sse splits a stream of server-sent events into whole events and reads
-// their ids, without changing a byte of them. An endpoint may stop in the middle of
-// an event; what it has sent of it must not reach the caller, who would join it with
-// the next one's beginning.
+// Package sse splits a stream of server-sent events into whole events and reads their ids,
+// without a change to any byte. An endpoint may stop in the middle of an event; the partial
+// event must not reach the caller, which would join it to the start of the next one.
 package sse
 
 import (
@@ -9,44 +8,46 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes; an endpoint that sends more without an end is broken.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event; an endpoint that exceeds it is broken.
+const maxEventBytes = 1 << 20
 
-// Splitter collects bytes and gives whole events.
+// Splitter collects the bytes of a stream and returns whole events.
 type Splitter struct {
-	buf []byte
-	at  int // start of what was not given yet
+	buf   []byte
+	start int // offset in buf of the first byte that Next has not returned
 }
 
-// Add takes bytes from the endpoint. It returns false when an event grows too large.
+// Add appends bytes from the endpoint. It returns false when the buffered bytes exceed the
+// largest event size.
 func (s *Splitter) Add(b []byte) bool {
-	if s.at > 0 {
-		s.buf = append(s.buf[:0], s.buf[s.at:]...)
-		s.at = 0
+	if s.start > 0 {
+		s.buf = append(s.buf[:0], s.buf[s.start:]...)
+		s.start = 0
 	}
 	s.buf = append(s.buf, b...)
-	return len(s.buf) <= maxEvent
+	return len(s.buf) <= maxEventBytes
 }
 
-// Next returns the next whole event with its closing empty line, or nil. The slice is
-// valid until the next Add.
+// Next returns the next whole event, including the empty line that ends it, or nil. The slice
+// is valid until the next call of Add.
 func (s *Splitter) Next() []byte {
-	rest := s.buf[s.at:]
+	rest := s.buf[s.start:]
 	end := eventEnd(rest)
 	if end < 0 {
 		return nil
 	}
-	s.at += end
+	s.start += end
 	return rest[:end]
 }
 
 // Rest returns the bytes after the last whole event.
-func (s *Splitter) Rest() []byte { return s.buf[s.at:] }
+func (s *Splitter) Rest() []byte { return s.buf[s.start:] }
 
-// Reset forgets what is left of a broken stream.
-func (s *Splitter) Reset() { s.buf, s.at = s.buf[:0], 0 }
+// Reset discards the rest of a broken stream.
+func (s *Splitter) Reset() { s.buf, s.start = s.buf[:0], 0 }
 
-// eventEnd returns the length of the first event up to its empty line, -1 for none.
+// eventEnd returns the length of the first event including its empty line, or -1 if b holds no
+// whole event.
 func eventEnd(b []byte) int {
 	start := 0
 	for {
@@ -62,7 +63,7 @@
 	}
 }
 
-// ID returns the number in an event's id field.
+// ID returns the number in an event's id field. The second result is false if there is none.
 func ID(event []byte) (int64, bool) {
 	for line := range bytes.Lines(event) {
 		v, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/gateway/sse/sse_test.go
+++ b/gateway/sse/sse_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// However the bytes of a stream are cut on the way, the events come out whole, in order
-// and unchanged, and what is left is the part without an end.
-func TestAnyCutGivesTheSameEvents(t *testing.T) {
+// For any division of the stream into reads, the events are whole, in order and unchanged, and
+// Rest returns the unfinished event.
+func TestEventsDoNotDependOnReadSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "events")
 		eol := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "eol")
@@ -51,10 +51,10 @@
 	require.False(t, ok)
 }
 
-// An endpoint that never ends an event must not fill the memory.
+// An endpoint that never ends an event must not exhaust the memory.
 func TestEventWithoutEndIsRefused(t *testing.T) {
 	var s Splitter
-	require.True(t, s.Add(make([]byte, maxEvent)))
+	require.True(t, s.Add(make([]byte, maxEventBytes)))
 	require.False(t, s.Add([]byte("x")))
 }
 
@@ -71,7 +71,7 @@
 			}
 		}
 		if !bytes.Equal(b, append(out, s.Rest()...)) {
-			t.Fatal("bytes were changed, lost or doubled")
+			t.Fatal("bytes were changed, lost or duplicated")
 		}
 	})
 }
