--- a/gateway/forward/admit_test.go
+++ b/gateway/forward/admit_test.go
@@ -12,22 +12,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A VM that just started knows no configuration. To say that a path or key doesn't
-// exist would make callers give up for good.
+// A VM that has just started has no configuration. If it answered that a path or key does not
+// exist, callers would give up for good.
 func TestNoConfigurationYet(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newTestEnv(t, 1)
 	w.state.config = nil
-	r := w.ask(http.MethodGet, "/safe/a", "")
+	r := w.send(http.MethodGet, "/safe/a", "")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
 }
 
-// The VM is cut from the platform. A path or key that it doesn't know may have been
-// added since, so it denies nothing once its proof is older than DenyProof; and a key
-// that it knows may have been taken away, so it serves none after KeyProof. What needs
-// no key goes on.
+// The VM has lost the platform. A path or key may have been added since then, so nothing is
+// denied once the configuration is older than DenyProof. A key may have been revoked, so none
+// is accepted after KeyProof. Anonymous routes go on.
 func TestAgeOfTheProof(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newTestEnv(t, 1)
 	for _, c := range []struct {
 		age       time.Duration
 		path, key string
@@ -45,105 +44,105 @@
 		w.state.mu.Lock()
 		w.state.age = c.age
 		w.state.mu.Unlock()
-		r := w.ask(http.MethodGet, c.path, "", testNames.Key, c.key)
+		r := w.send(http.MethodGet, c.path, "", testNames.Key, c.key)
 		require.Equal(t, c.want, r.status, "%+v", c)
 	}
 }
 
 func TestLimits(t *testing.T) {
-	w := newWorld(t, 1)
-	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, w.ask(http.MethodGet, "/safe/a", "", "X-Long", strings.Repeat("a", 5000)).status)
-	require.Equal(t, http.StatusRequestEntityTooLarge, w.ask(http.MethodPost, "/once/a", strings.Repeat("a", 1<<16+1)).status)
-	require.Zero(t, w.runs())
-	require.Equal(t, http.StatusOK, w.ask(http.MethodPost, "/once/a", strings.Repeat("a", 1<<16)).status)
+	w := newTestEnv(t, 1)
+	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, w.send(http.MethodGet, "/safe/a", "", "X-Long", strings.Repeat("a", 5000)).status)
+	require.Equal(t, http.StatusRequestEntityTooLarge, w.send(http.MethodPost, "/once/a", strings.Repeat("a", 1<<16+1)).status)
+	require.Zero(t, w.totalRuns())
+	require.Equal(t, http.StatusOK, w.send(http.MethodPost, "/once/a", strings.Repeat("a", 1<<16)).status)
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newTestEnv(t, 1)
 	require.Equal(t, "quick", w.state.config.Match("H", "/safe/quick/x").Name)
 	require.Equal(t, "safe", w.state.config.Match("h", "/safe/quic").Name)
 	require.Nil(t, w.state.config.Match("h", "/safe"))
 	require.Nil(t, w.state.config.Match("other", "/safe/a"))
 }
 
-// An endpoint is told what is left of the caller's time, or of the route's where that
-// is shorter; when it is over the caller has its final answer, and the endpoint hears
-// that nobody waits.
+// An endpoint receives the time left of the caller's timeout, or of the route's if shorter.
+// When it is over, the caller gets its final answer, and the endpoint sees the request
+// cancelled.
 func TestTimeIsOver(t *testing.T) {
-	w := newWorld(t, 1)
-	left := make(chan struct{})
-	w.all(func(_ http.ResponseWriter, r *http.Request) {
+	w := newTestEnv(t, 1)
+	cancelled := make(chan struct{})
+	w.setHandlers(func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
-	r := w.ask(http.MethodGet, "/safe/quick/a", "")
+	r := w.send(http.MethodGet, "/safe/quick/a", "")
 	require.Equal(t, http.StatusGatewayTimeout, r.status)
-	<-left
-	ms, err := strconv.Atoi(w.heads()[0].Get(testNames.Deadline))
+	<-cancelled
+	ms, err := strconv.Atoi(w.headers()[0].Get(testNames.Deadline))
 	require.NoError(t, err)
 	require.LessOrEqual(t, ms, 50)
 }
 
-// The caller leaves while an endpoint works: the endpoint hears of it, and no other
-// endpoint gets the request.
+// The caller disconnects while an endpoint works: the endpoint sees the request cancelled, and
+// no other endpoint gets it.
 func TestCallerLeaves(t *testing.T) {
 	for _, path := range []string{"/safe/a", "/stream/a"} {
-		w := newWorld(t, 3)
+		w := newTestEnv(t, 3)
 		ctx, cancel := context.WithCancel(t.Context())
-		left := make(chan struct{})
-		w.all(func(_ http.ResponseWriter, r *http.Request) {
+		cancelled := make(chan struct{})
+		w.setHandlers(func(_ http.ResponseWriter, r *http.Request) {
 			cancel()
 			<-r.Context().Done()
-			close(left)
+			close(cancelled)
 		})
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.front.URL+path, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.vmServer.URL+path, nil)
 		require.NoError(t, err)
 		req.Host = "h"
 		req.Header.Set(testNames.RequestID, "left")
 		req.Header.Set(testNames.Key, "k")
 		_, err = http.DefaultTransport.RoundTrip(req)
 		require.ErrorIs(t, err, context.Canceled)
-		<-left
+		<-cancelled
 		require.Eventually(t, func() bool { return w.handler.Active() == 0 }, 10*time.Second, time.Millisecond)
-		require.EqualValues(t, 1, w.runs())
+		require.EqualValues(t, 1, w.totalRuns())
 	}
 }
 
-// A request that crashed three endpoints comes again from its caller: it must not take
-// down a fourth.
+// A request that crashed three endpoints is sent again by its caller: it must not crash a
+// fourth.
 func TestRequestThatCrashesEndpoints(t *testing.T) {
-	w := newWorld(t, 6)
-	w.all(crash)
-	require.Equal(t, http.StatusBadGateway, w.ask(http.MethodGet, "/safe/bad", "").status)
-	runs := w.runs()
-	r := w.ask(http.MethodGet, "/safe/bad", "")
+	w := newTestEnv(t, 6)
+	w.setHandlers(crash)
+	require.Equal(t, http.StatusBadGateway, w.send(http.MethodGet, "/safe/bad", "").status)
+	runs := w.totalRuns()
+	r := w.send(http.MethodGet, "/safe/bad", "")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.Equal(t, "not run", r.header.Get("X-Ran"))
-	require.Equal(t, runs, w.runs())
+	require.Equal(t, runs, w.totalRuns())
 }
 
-// A VM that is to stop ends each connection with an answer, and turns streams away that
-// would outlive it, with when to come back.
+// A VM that is to stop closes each connection after an answer. It refuses streams that would
+// outlive it, with a Retry-After.
 func TestStopping(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newTestEnv(t, 1)
 	w.handler.Stop(time.Now().Add(-time.Second))
-	r := w.ask(http.MethodPost, "/once/a", "x")
+	r := w.send(http.MethodPost, "/once/a", "x")
 	require.Equal(t, http.StatusOK, r.status)
-	require.True(t, r.last)
-	r = w.ask(http.MethodGet, "/stream/a", "")
+	require.True(t, r.lastOnConn)
+	r = w.send(http.MethodGet, "/stream/a", "")
 	require.Equal(t, http.StatusServiceUnavailable, r.status)
 	require.NotEmpty(t, r.header.Get("Retry-After"))
 }
 
-// All VMs come back at once: a caller that is sent away before the VM knows what it serves
-// would meet the next one that doesn't.
+// All VMs restart at once: if a VM without a configuration refused a caller, the next VM would
+// refuse it as well.
 func TestStartedVMHoldsRequests(t *testing.T) {
-	w := newWorld(t, 1)
+	w := newTestEnv(t, 1)
 	config := w.state.config
 	w.state.known, w.state.config = make(chan struct{}), nil
 	w.handler.started = time.Now().Add(time.Minute)
 	var once sync.Once
-	w.state.asked = func() {
+	w.state.onKnown = func() {
 		go once.Do(func() {
 			w.state.mu.Lock()
 			defer w.state.mu.Unlock()
@@ -151,16 +150,16 @@
 			close(w.state.known)
 		})
 	}
-	require.Equal(t, http.StatusOK, w.ask(http.MethodGet, "/safe/a", "").status)
+	require.Equal(t, http.StatusOK, w.send(http.MethodGet, "/safe/a", "").status)
 }
 
-// A VM that has long started, or a caller with little time, gets the refusal that nothing ran.
+// A VM that started long ago, or a caller with little time, gets a refusal that nothing ran.
 func TestVMWithoutConfigurationRefuses(t *testing.T) {
 	for name, started := range map[string]time.Time{"long ago": {}, "just now, no time": time.Now().Add(time.Hour)} {
-		w := newWorld(t, 1)
+		w := newTestEnv(t, 1)
 		w.state.known, w.state.config = make(chan struct{}), nil
 		w.handler.started = started
-		r := w.ask(http.MethodGet, "/safe/a", "", testNames.Deadline, "40")
+		r := w.send(http.MethodGet, "/safe/a", "", testNames.Deadline, "40")
 		require.Equal(t, http.StatusServiceUnavailable, r.status, name)
 		require.Equal(t, "not run", r.header.Get("X-Ran"), name)
 	}
--- a/gateway/forward/bench_test.go
+++ b/gateway/forward/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// once sends one request to an address and reads its answer.
+// once sends one request to a URL and reads its answer.
 func once(b *testing.B, url, path string) {
 	req, err := http.NewRequest(http.MethodPost, url+path, strings.NewReader("body"))
 	require.NoError(b, err)
@@ -24,16 +24,16 @@
 	resp.Body.Close()
 }
 
-// BenchmarkAddedTime compares an endpoint called directly with one called through the
-// VM, in one run: a plain answer, and a stream of 50 events.
+// BenchmarkAddedTime compares requests sent directly to an endpoint with requests through the
+// VM: a plain answer, and a stream of 50 events.
 func BenchmarkAddedTime(b *testing.B) {
-	w := newWorld(b, 1)
+	w := newTestEnv(b, 1)
 	for _, c := range []struct {
 		name, path string
 		handler    http.HandlerFunc
 	}{{"plain", "/safe/a", answerOK}, {"stream", "/stream/a", events(1, 50, false)}} {
-		w.all(c.handler)
-		for name, url := range map[string]string{"direct": w.endpoints[0].server.URL, "through": w.front.URL} {
+		w.setHandlers(c.handler)
+		for name, url := range map[string]string{"direct": w.endpoints[0].server.URL, "through": w.vmServer.URL} {
 			b.Run(c.name+"/"+name, func(b *testing.B) {
 				began := time.Now()
 				n := 0
--- a/gateway/forward/call.go
+++ b/gateway/forward/call.go
@@ -15,7 +15,7 @@
 	"goldcrestfork/router/refusal"
 )
 
-// call is one caller's request on its way.
+// call is one caller's request from its arrival to its answer.
 type call struct {
 	h     *Handler
 	w     http.ResponseWriter
@@ -23,72 +23,74 @@
 	start time.Time
 	id    string
 
-	conf     *catalog.Config
-	age      time.Duration // of the configuration's proof
-	route    *catalog.Route
-	account  *catalog.Account
-	priority int
-	whole    time.Duration
-	deadline time.Time
-	body     []byte
-	prompt   prompt
-	mark     uint64 // what the request asks, for package poison
-
-	service string
-	model   int      // index in the route's models, smallest first
-	tried   []string // endpoints that it was sent to, or that refused the connection
-	sends   int      // endpoints that ran it or may have
-	wrong   int      // endpoints in another life than their entry's, which ran nothing
-	full    int      // endpoints without room, which ran nothing
-	dials   int      // connections that could not be made
-	status  int      // of the answer that was passed on
-	paid    bool     // the budget has granted the next attempt
-	ran     refusal.Ran
-	trail   []step
-	pin     Pin    // nil before the service is known
-	why     Why    // of the last choice of a version
-	opinion string // the last answer's confidence and the outlook of a larger model, for the log
+	conf        *catalog.Config
+	configAge   time.Duration // time since the configuration was confirmed as the newest
+	route       *catalog.Route
+	account     *catalog.Account
+	priority    int
+	timeout     time.Duration
+	deadline    time.Time
+	body        []byte
+	prompt      prompt
+	fingerprint uint64 // fingerprint of the request's content, for package poison
+
+	service        string
+	model          int      // index in the route's models, smallest first
+	tried          []string // endpoints that got the request or refused the connection
+	possibleRuns   int      // attempts that ran or may have run
+	misdirected    int      // endpoints that refused as another incarnation than the one expected; they ran nothing
+	atCapacity     int      // endpoints that refused for lack of capacity; they ran nothing
+	failedDials    int      // connections that could not be established
+	status         int      // status code of the answer that was passed on
+	retryGranted   bool     // the retry budget has already granted the next attempt
+	ran            refusal.Ran
+	attemptRecords []attemptRecord
+	pin            Pin    // nil before the service is known
+	rationale      Why    // reason for the last choice of a version
+	sizingNote     string // confidence and load of the last answer with the estimate for a larger model, for the log
 }
 
-// step is one attempt in the request's log line.
-type step struct {
-	endpoint string
-	model    string
-	result   string
-	opinion  string
-	version  string
+// attemptRecord is one attempt in the request's log line.
+type attemptRecord struct {
+	endpoint   string
+	model      string
+	result     string
+	sizingNote string
+	version    string
 }
 
 const (
-	// maxDials bounds the endpoints whose connection may fail: each costs up to the dial
-	// timeout, and a crash of a whole data centre leaves the others.
-	maxDials = 4
-	// quickDials bounds them while all failed within quickTime: a crashed endpoint
-	// refuses at once, and half of sixty may be down while the VMs find out.
-	quickDials = 16
-	quickTime  = 150 * time.Millisecond
-	// mostWrong bounds the endpoints that say that they are another one than was meant: each
-	// costs a round trip, and all of a data centre may come back in new lives at once.
-	mostWrong = 8
-	// mostFull bounds those without room: each one more is sent a request that it must refuse.
-	mostFull = 3
+	// maxFailedDials bounds the failed connections of a request: each costs up to the dial
+	// timeout, and if a whole data centre crashes, the endpoints of the others remain.
+	maxFailedDials = 4
+	// maxQuickFailedDials applies instead while quickDialWindow has not passed since the
+	// request's start: a crashed endpoint refuses a connection at once, and half of sixty
+	// endpoints may be down before the VMs detect it.
+	maxQuickFailedDials = 16
+	quickDialWindow     = 150 * time.Millisecond
+	// maxMisdirected bounds the endpoints that answer as another incarnation: each costs a
+	// round trip, and all endpoints of a data centre may restart at once.
+	maxMisdirected = 8
+	// maxAtCapacity bounds the endpoints that refuse for lack of capacity: each further attempt
+	// loads another endpoint with a request that it must refuse.
+	maxAtCapacity = 3
 )
 
-// verdict is what becomes of a request after an attempt.
-type verdict int
+// nextAction is what to do with a request after an attempt.
+type nextAction int
 
 const (
-	done  verdict = iota // the caller has its answer
-	again                // another endpoint may be tried
-	stop                 // no further attempt
+	done    nextAction = iota // the caller has its answer
+	tryNext                   // another endpoint may be tried
+	giveUp                    // no further attempt is allowed
 )
 
-// run tries endpoints until the caller has an answer.
+// run tries endpoints until the caller has an answer or a refusal.
 func (c *call) run() {
 	c.ran = refusal.NotRun
 	c.service = c.pickService()
-	c.mark = uint64(poison.Of(c.accountName(), c.r.RequestURI, c.body))
-	if c.h.cfg.Poison.Quarantined(c.service, c.mark) {
+	c.fingerprint = uint64(poison.Of(c.accountName(), c.r.RequestURI, c.body))
+	if c.h.cfg.Poison.Quarantined(c.service, c.fingerprint) {
 		c.refuse(refusal.New(http.StatusServiceUnavailable, refusal.Quarantined, "this request crashed the endpoints that ran it"))
 		return
 	}
@@ -96,23 +98,23 @@
 	defer cancel()
 	c.pin = c.h.cfg.Versions.Begin(c.service, c.session(), c.deadline)
 	for {
-		choice, bad := c.choose(ctx)
-		if bad != nil {
-			c.refuse(bad)
+		choice, refused := c.nextEndpoint(ctx)
+		if refused != nil {
+			c.refuse(refused)
 			return
 		}
-		var v verdict
+		var next nextAction
 		if c.route.Kind == catalog.Streaming {
-			v, bad = c.stream(ctx, choice)
+			next, refused = c.attemptStream(ctx, choice)
 		} else {
-			v, bad = c.plain(ctx, choice)
+			next, refused = c.attemptPlain(ctx, choice)
 		}
-		switch v {
+		switch next {
 		case done:
 			c.finish("answered", c.status)
 			return
-		case stop:
-			c.refuse(bad)
+		case giveUp:
+			c.refuse(refused)
 			return
 		}
 	}
@@ -125,7 +127,7 @@
 	return c.account.Name
 }
 
-// pickService draws a branch of the route by weight.
+// pickService picks one of the route's services at random, by weight.
 func (c *call) pickService() string {
 	s := c.route.Services
 	if len(s) == 1 {
@@ -135,20 +137,20 @@
 	for _, b := range s {
 		sum += b.Weight
 	}
-	at := newRand().Float64() * sum
+	point := newRand().Float64() * sum
 	for _, b := range s {
-		if at -= b.Weight; at < 0 {
+		if point -= b.Weight; point < 0 {
 			return b.Service
 		}
 	}
 	return s[len(s)-1].Service
 }
 
-// need describes the request for package placement.
-func (c *call) need(v Choice) *placement.Request { return c.needOf(v, c.model) }
+// placementRequest describes the request to package placement, for the current model.
+func (c *call) placementRequest(v Choice) *placement.Request { return c.requestFor(v, c.model) }
 
-// needOf describes it as it would be for one of the route's models.
-func (c *call) needOf(v Choice, model int) *placement.Request {
+// requestFor describes the request for the given index in the route's models.
+func (c *call) requestFor(v Choice, model int) *placement.Request {
 	r := &placement.Request{
 		Service: c.service, Version: v.Only, NotVersion: v.Not, Regions: c.route.Regions,
 		Exclude: c.tried, Work: 1,
@@ -157,106 +159,111 @@
 	if c.prompt.wildcard {
 		weight = sizing.Work(model, len(c.route.Models))
 	}
-	r.Prefill = weight * float64(c.prompt.whole) / workTokens
-	if c.prompt.affinity != "" {
-		r.Affinity = c.prompt.affinity + "/" + strconv.Itoa(model)
-		r.Saving = weight * float64(c.prompt.shared) / workTokens
+	r.Prefill = weight * float64(c.prompt.totalTokens) / tokensPerWorkUnit
+	if c.prompt.sharedPrefix != "" {
+		r.Affinity = c.prompt.sharedPrefix + "/" + strconv.Itoa(model)
+		r.Saving = weight * float64(c.prompt.sharedTokens) / tokensPerWorkUnit
 	}
 	return r
 }
 
-// pick chooses an endpoint of the session's version; where it has none, of any that
-// may be used.
-func (c *call) pick(ctx context.Context) (placement.Choice, placement.Miss) {
-	if c.tallied() {
+// pickEndpoint picks an endpoint of the session's version. If that version has no endpoint, it
+// picks one of any version that is not excluded.
+func (c *call) pickEndpoint(ctx context.Context) (placement.Choice, placement.Miss) {
+	if c.countsTowardLoad() {
 		c.h.cfg.Load.Ask(ctx)
 		defer c.h.cfg.Load.Changed()
 	}
 	var v Choice
-	v, c.why = c.pin.Choose(ctx)
-	ch, miss := c.h.cfg.Table.Pick(time.Now(), newRand(), c.need(v))
+	v, c.rationale = c.pin.Choose(ctx)
+	ch, miss := c.h.cfg.Table.Pick(time.Now(), newRand(), c.placementRequest(v))
 	if miss == placement.NoEndpoint && v.Only != "" {
-		ch, miss = c.h.cfg.Table.Pick(time.Now(), newRand(), c.need(Choice{Not: v.Not}))
+		ch, miss = c.h.cfg.Table.Pick(time.Now(), newRand(), c.placementRequest(Choice{Not: v.Not}))
 	}
 	return ch, miss
 }
 
-// session ties the request to others; empty for none.
+// session returns the id of the request's session; empty for none.
 func (c *call) session() string { return c.r.Header.Get(c.h.cfg.Names.Session) }
 
-// tallied says that the request takes an endpoint long enough for the fleet's load to
-// matter.
-func (c *call) tallied() bool { return c.route.Kind == catalog.Streaming }
+// countsTowardLoad reports whether the request occupies an endpoint long enough to count in the
+// load that the VMs exchange.
+func (c *call) countsTowardLoad() bool { return c.route.Kind == catalog.Streaming }
 
-// workTokens is the prompt that the smallest model reads in the time that one more
-// running request costs the others at its engine.
-const workTokens = 1000
+// tokensPerWorkUnit converts tokens to placement's unit of work: the smallest model reads that
+// many tokens in the time by which one more running request delays the others at its engine.
+const tokensPerWorkUnit = 1000
 
-// choose picks an endpoint, or says why there is none.
-func (c *call) choose(ctx context.Context) (placement.Choice, *refusal.Refusal) {
+// nextEndpoint picks the endpoint for the next attempt, or returns a refusal if no attempt is
+// allowed or possible.
+func (c *call) nextEndpoint(ctx context.Context) (placement.Choice, *refusal.Refusal) {
 	if err := ctx.Err(); err != nil {
-		return placement.Choice{}, c.ended(err)
+		return placement.Choice{}, c.contextRefusal(err)
 	}
-	if c.sends >= max(c.route.MaxAttempts, 1) {
-		return placement.Choice{}, c.noMore("all attempts failed")
+	if c.possibleRuns >= max(c.route.MaxAttempts, 1) {
+		return placement.Choice{}, c.refuseFurther("all attempts failed")
 	}
-	if c.wrong > mostWrong || c.full >= mostFull {
-		return placement.Choice{}, c.noMore("the endpoints that were tried did not run it")
+	if c.misdirected > maxMisdirected || c.atCapacity >= maxAtCapacity {
+		return placement.Choice{}, c.refuseFurther("the endpoints that were tried did not run it")
 	}
-	if c.dials > maxDials && (c.dials > quickDials || time.Since(c.start) > quickTime) {
-		return placement.Choice{}, c.noMore("no endpoint could be reached")
+	if c.failedDials > maxFailedDials && (c.failedDials > maxQuickFailedDials || time.Since(c.start) > quickDialWindow) {
+		return placement.Choice{}, c.refuseFurther("no endpoint could be reached")
 	}
-	if c.arrivals() > 0 && !c.paid && !c.h.cfg.Budget.Again(c.service) {
-		return placement.Choice{}, c.noMore("too many requests are being tried again")
+	if c.endpointsReached() > 0 && !c.retryGranted && !c.h.cfg.Budget.Again(c.service) {
+		return placement.Choice{}, c.refuseFurther("too many requests are being tried again")
 	}
-	c.paid = false
-	choice, miss := c.pick(ctx)
+	c.retryGranted = false
+	choice, miss := c.pickEndpoint(ctx)
 	if miss != placement.Picked {
-		return choice, c.noMore(missText[miss])
+		return choice, c.refuseFurther(missDetails[miss])
 	}
-	if c.arrivals() == 0 && c.dials == 0 {
+	if c.endpointsReached() == 0 && c.failedDials == 0 {
 		c.h.cfg.Budget.First(c.service)
 	}
 	return choice, nil
 }
 
-// arrivals is how many endpoints the request reached, whether they ran it or not.
-func (c *call) arrivals() int { return c.sends + c.wrong + c.full }
+// endpointsReached returns the number of endpoints that the request reached, whether they ran
+// it or not.
+func (c *call) endpointsReached() int { return c.possibleRuns + c.misdirected + c.atCapacity }
 
-var missText = map[placement.Miss]string{
+var missDetails = map[placement.Miss]string{
 	placement.NoEndpoint: "no endpoint serves this now",
 	placement.AllCold:    "the endpoints are in cold start",
 	placement.AllTried:   "all endpoints were tried",
 }
 
-// noMore is the refusal when no attempt is left: true to what became of those before.
-func (c *call) noMore(why string) *refusal.Refusal {
+// refuseFurther returns the refusal if no further attempt is made. It states whether an earlier
+// attempt may have run.
+func (c *call) refuseFurther(detail string) *refusal.Refusal {
 	if c.ran != refusal.NotRun {
-		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "%s", why).WhichRan(c.ran)
+		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "%s", detail).WhichRan(c.ran)
 	}
-	return refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "%s", why).After(c.comeBack())
+	return refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "%s", detail).After(c.retryAfter())
 }
 
-// comeBack is when a refused caller should ask again: late enough for requests that
-// run now to end, early enough to be in time, spread so that those that were refused
-// together don't return together.
-func (c *call) comeBack() time.Duration {
+// retryAfter returns the delay after which a refused caller should retry: long enough for
+// running requests to end, short enough to meet the deadline, and with jitter so that callers
+// refused together don't return together.
+func (c *call) retryAfter() time.Duration {
 	left := time.Until(c.deadline)
 	return max(min(left/4, time.Second), 0)/2 + time.Duration(newRand().Float64()*float64(max(min(left/4, time.Second), 1))/2)
 }
 
-// ended is the final answer when the request's time is over or its caller left.
-func (c *call) ended(err error) *refusal.Refusal {
+// contextRefusal returns the refusal for a request whose deadline has passed or whose caller
+// disconnected.
+func (c *call) contextRefusal(err error) *refusal.Refusal {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return refusal.New(http.StatusGatewayTimeout, refusal.DeadlineTooShort, "no answer in time").WhichRan(c.ran)
 	}
-	return refusal.New(statusGone, refusal.DeadlineTooShort, "the caller left").WhichRan(c.ran)
+	return refusal.New(statusClientClosedRequest, refusal.DeadlineTooShort, "the caller left").WhichRan(c.ran)
 }
 
-// statusGone is logged for callers that left; nobody receives it.
-const statusGone = 499
+// statusClientClosedRequest is logged if the caller disconnected; it is never sent.
+const statusClientClosedRequest = 499
 
-// send makes one attempt and returns the head of its answer.
+// send makes one attempt and returns the head of its answer. A stream continues after lastEvent
+// unless that is empty.
 func (c *call) send(ctx context.Context, ch placement.Choice, lastEvent string) (*upstream.Answer, error) {
 	n := &c.h.cfg.Names
 	head := endToEnd(c.r.Header)
@@ -265,7 +272,7 @@
 	}
 	head.Set(n.RequestID, c.id)
 	head.Set(n.ExpectInstance, ch.ID)
-	head.Set(n.Deadline, upstream.Budget(c.deadline, time.Now()))
+	head.Set(n.Deadline, upstream.RemainingMillis(c.deadline, time.Now()))
 	if c.account != nil {
 		head.Set(n.Account, c.account.Name)
 	}
@@ -277,82 +284,85 @@
 	}
 	req := &upstream.Request{
 		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: head, Body: c.body,
-		ID: c.id, IDHeader: n.RequestID, Once: !c.repeatable(),
+		ID: c.id, IDHeader: n.RequestID, AtMostOnce: !c.repeatable(),
 	}
-	c.h.cfg.Poison.Begin(c.service, ch.ID, c.mark)
+	c.h.cfg.Poison.Begin(c.service, ch.ID, c.fingerprint)
 	a, err := c.h.cfg.Pool.Send(ctx, ch.Address, req)
 	if err == nil {
-		c.learn(ch, a)
+		c.recordAnswerHead(ch, a)
 	}
 	return a, err
 }
 
-// repeatable says that the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (c *call) repeatable() bool {
 	return c.route.Kind == catalog.Idempotent || c.route.Kind == catalog.Streaming && c.route.Resume
 }
 
-// learn passes on what an answer's head says of its endpoint.
-func (c *call) learn(ch placement.Choice, a *upstream.Answer) {
+// recordAnswerHead updates the placement table with what an answer's head states about its
+// endpoint.
+func (c *call) recordAnswerHead(ch placement.Choice, a *upstream.Answer) {
 	n := &c.h.cfg.Names
 	now := time.Now()
-	if c.tallied() {
+	if c.countsTowardLoad() {
 		c.h.cfg.Table.Began(now, ch)
 		c.h.cfg.Load.Changed()
 	}
-	if ms := number(a.Header.Get(n.Cold)); ms > 0 {
+	if ms := parseCount(a.Header.Get(n.Cold)); ms > 0 {
 		c.h.cfg.Table.Cold(now, ch.ID, time.Duration(ms)*time.Millisecond)
 	}
 }
 
-// failed settles an attempt without an answer's head; t is nil where it had no limit of its own.
-func (c *call) failed(ctx context.Context, ch placement.Choice, t *attempt, err error) (verdict, *refusal.Refusal) {
+// handleSendError ends an attempt that got no answer head; t is nil if the attempt had no time
+// limit of its own.
+func (c *call) handleSendError(ctx context.Context, ch placement.Choice, t *timedAttempt, err error) (nextAction, *refusal.Refusal) {
 	var e *upstream.Error
 	sent := !errors.As(err, &e) || e.Sent
 	if sent && t != nil && t.isOverdue() && ctx.Err() == nil {
 		c.ran = refusal.Unknown
-		c.moved(ch, t)
-		return again, nil
+		c.rerouteOverdue(ch, t)
+		return tryNext, nil
 	}
 	if !sent && ctx.Err() == nil {
-		c.settle(ch, placement.Unreached, "unreached")
-		c.dials++
+		c.finishAttempt(ch, placement.Unreached, "unreached")
+		c.failedDials++
 		c.tried = append(c.tried, ch.ID)
-		return again, nil
+		return tryNext, nil
 	}
 	if sent {
-		c.sends++
+		c.possibleRuns++
 		c.ran = refusal.Unknown
 		c.tried = append(c.tried, ch.ID)
 	}
 	if cause := ctx.Err(); cause != nil {
-		c.settle(ch, placement.Neutral, "ended")
-		return stop, c.ended(cause)
+		c.finishAttempt(ch, placement.Neutral, "ended")
+		return giveUp, c.contextRefusal(cause)
 	}
-	c.settle(ch, placement.Broken, resultBroken)
-	c.answered(ch, true, 0)
-	return c.unknown("the connection broke")
+	c.finishAttempt(ch, placement.Broken, resultBroken)
+	c.reportAnswer(ch, true, 0)
+	return c.outcomeUnknown("the connection broke")
 }
 
-// unknown settles an attempt that may have run, or ran to no good end.
-func (c *call) unknown(why string) (verdict, *refusal.Refusal) {
+// outcomeUnknown handles an attempt that may have run or that gave no valid answer: a
+// repeatable request is tried again, any other is refused with an unknown outcome.
+func (c *call) outcomeUnknown(detail string) (nextAction, *refusal.Refusal) {
 	if c.repeatable() {
-		return again, nil
+		return tryNext, nil
 	}
-	return stop, refusal.New(http.StatusBadGateway, refusal.OutcomeUnknown, "%s", why).WhichRan(c.ran)
+	return giveUp, refusal.New(http.StatusBadGateway, refusal.OutcomeUnknown, "%s", detail).WhichRan(c.ran)
 }
 
-// refused settles an answer that says that the endpoint did not run the request, which
-// costs none of the route's attempts. It returns false for other answers.
-func (c *call) refused(ch placement.Choice, a *upstream.Answer) bool {
+// handleNotRun ends an attempt whose endpoint states that it did not run the request, which
+// doesn't count towards the route's MaxAttempts. It returns false for other answers.
+func (c *call) handleNotRun(ch placement.Choice, a *upstream.Answer) bool {
 	n := &c.h.cfg.Names
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
-		c.settle(ch, placement.Gone, "misdirected")
-		c.wrong++
+		c.finishAttempt(ch, placement.Gone, "misdirected")
+		c.misdirected++
 	case a.Header.Get(n.NotRun) != "" && a.Status >= 400:
-		c.settle(ch, placement.Full, "full")
-		c.full++
+		c.finishAttempt(ch, placement.Full, "full")
+		c.atCapacity++
 	default:
 		return false
 	}
@@ -360,8 +370,8 @@
 	return true
 }
 
-// answered passes on what an endpoint of a version made of the request.
-func (c *call) answered(ch placement.Choice, failed bool, took time.Duration) {
+// reportAnswer reports the result of an attempt for the comparison of versions.
+func (c *call) reportAnswer(ch placement.Choice, failed bool, took time.Duration) {
 	a := Answered{Service: c.service, Version: ch.Version, Route: c.route.Name, Failed: failed, Took: took}
 	if c.prompt.wildcard {
 		a.Model = c.route.Models[c.model]
@@ -369,28 +379,29 @@
 	c.h.cfg.Versions.Answered(a)
 }
 
-// resultOK is a whole answer, resultBroken a connection that broke; the others are in
-// docs/OPERATIONS.md.
+// resultOK is the result of a complete answer, resultBroken that of a broken connection.
+// docs/OPERATIONS.md lists the other results.
 const (
 	resultOK     = "ok"
 	resultBroken = "broken"
 )
 
-// settle gives the endpoint's place back and notes the step.
-func (c *call) settle(ch placement.Choice, o placement.Outcome, result string) {
+// finishAttempt releases the attempt's slot at the endpoint and records the attempt in the
+// load, the poison detector, the log line and the metrics.
+func (c *call) finishAttempt(ch placement.Choice, o placement.Outcome, result string) {
 	c.h.cfg.Table.Done(time.Now(), ch, o)
-	if c.tallied() {
+	if c.countsTowardLoad() {
 		c.h.cfg.Load.Changed()
 	}
 	c.h.cfg.Poison.End(Attempt{
-		Service: c.service, Endpoint: ch.ID, Address: ch.Address, Fingerprint: c.mark,
+		Service: c.service, Endpoint: ch.ID, Address: ch.Address, Fingerprint: c.fingerprint,
 		Survived: result == resultOK, Broke: result == resultBroken,
 	})
 	model := ""
 	if c.prompt.wildcard {
 		model = strconv.Itoa(c.model)
 	}
-	c.trail = append(c.trail, step{endpoint: ch.ID, model: model, result: result, opinion: c.opinion, version: ch.Version})
-	c.opinion = ""
+	c.attemptRecords = append(c.attemptRecords, attemptRecord{endpoint: ch.ID, model: model, result: result, sizingNote: c.sizingNote, version: ch.Version})
+	c.sizingNote = ""
 	c.h.cfg.Metrics.attempts.WithLabelValues(result).Inc()
 }
--- a/gateway/forward/doc.go
+++ b/gateway/forward/doc.go
@@ -1,14 +1,13 @@
-// Package forward carries callers' opaque requests to endpoints and the answers
-// back: route by host and path, account by key, endpoint by package placement,
-// model by package sizing, one more attempt only where the first certainly did not
-// run or the request may run again.
+// Package forward proxies callers' requests to endpoints and passes the answers back. It finds
+// the route by host and path, the account by key, the endpoint with package placement and the
+// model with package sizing. A request is sent to another endpoint only if the first one
+// certainly did not run it or if it may run more than once.
 //
-// Load pattern: endpoints crash, refuse, hang, cut answers off or send bytes of
-// another answer, while callers leave, come back and have little time.
+// Load pattern: endpoints crash, refuse requests, hang, cut answers off or send bytes of
+// another answer, while callers disconnect, reconnect and have short deadlines.
 //
-// Without it: a request that was sent twice books an order twice; an answer that
-// breaks off looks complete; a caller waits for its whole time for what was known
-// to fail at once.
+// Without it: a request that is sent twice books an order twice; a truncated answer looks
+// complete; a caller waits until its deadline for a failure that was known at once.
 //
-// Lock order: the package holds no locks; each request is one goroutine's.
+// Lock order: the package holds no locks; each request is handled by one goroutine.
 package forward
--- a/gateway/forward/finish.go
+++ b/gateway/forward/finish.go
@@ -10,7 +10,7 @@
 	"goldcrestfork/router/refusal"
 )
 
-// Metrics are the handler's counters and histograms.
+// Metrics holds the handler's counters and histograms.
 type Metrics struct {
 	requests   *prometheus.CounterVec
 	attempts   *prometheus.CounterVec
@@ -18,7 +18,7 @@
 	firstEvent *prometheus.HistogramVec
 }
 
-// NewMetrics registers the handler's metrics.
+// NewMetrics creates the handler's metrics and registers them with r.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 14)
 	m := &Metrics{
@@ -41,10 +41,10 @@
 	return m
 }
 
-// refuse ends the request without an endpoint's answer.
+// refuse ends the request with a refusal instead of an endpoint's answer.
 func (c *call) refuse(r *refusal.Refusal) {
 	r.RequestID = c.id
-	if r.Status != statusGone {
+	if r.Status != statusClientClosedRequest {
 		c.w.Header().Set(c.h.cfg.Names.RequestID, c.id)
 		if c.h.stopping.Load() {
 			c.w.Header().Set("Connection", "close")
@@ -54,10 +54,11 @@
 	c.finish(string(r.Code), r.Status)
 }
 
-// finish releases the session's version, writes the request's one log line and counts it.
+// finish releases the session's version, writes the request's single log line and counts the
+// request.
 func (c *call) finish(outcome string, status int) {
 	took := time.Since(c.start)
-	versions := versionsRun(c.trail)
+	versions := versionsRun(c.attemptRecords)
 	if c.pin != nil {
 		last := ""
 		if len(versions) > 0 {
@@ -73,26 +74,26 @@
 	c.h.cfg.Metrics.latency.WithLabelValues(kind).Observe(took.Seconds())
 	e := c.h.cfg.Log.Info().Str("request", c.id).Str("outcome", outcome).Int("status", status).Dur("took_ms", took)
 	if c.conf != nil {
-		e = e.Int64("config", c.conf.Version).Dur("config_age_ms", c.age)
+		e = e.Int64("config", c.conf.Version).Dur("config_age_ms", c.configAge)
 	}
 	if c.route != nil {
 		e = e.Str("route", c.route.Name).Str("account", c.accountName()).Str("service", c.service).
-			Dur("wait_ms", c.whole).Str("ran", string(c.ran))
+			Dur("wait_ms", c.timeout).Str("ran", string(c.ran))
 	}
-	if len(c.trail) > 0 {
-		e = e.Str("attempts", trailText(c.trail))
+	if len(c.attemptRecords) > 0 {
+		e = e.Str("attempts", formatAttempts(c.attemptRecords))
 	}
 	if id := c.session(); id != "" && c.service != "" {
 		e = e.Str("session", trial.SessionOf(c.service, id).String()).Str("versions", strings.Join(versions, " ")).
-			Str("version_reason", c.why.Reason).Dur("roll_out_age_ms", c.why.RollOutAge).Str("session_keeper", c.why.Keeper).Dur("session_age_ms", c.why.SessionAge)
+			Str("version_reason", c.rationale.Reason).Dur("roll_out_age_ms", c.rationale.RollOutAge).Str("session_keeper", c.rationale.Keeper).Dur("session_age_ms", c.rationale.SessionAge)
 	}
 	e.Msg("request")
 }
 
-// trailText lists attempts as "endpoint/model=result(opinion)".
-func trailText(trail []step) string {
+// formatAttempts formats attempts as "endpoint/model=result(note)", separated by spaces.
+func formatAttempts(attempts []attemptRecord) string {
 	var b strings.Builder
-	for i, s := range trail {
+	for i, s := range attempts {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
@@ -101,26 +102,26 @@
 			b.WriteString("/" + s.model)
 		}
 		b.WriteString("=" + s.result)
-		if s.opinion != "" {
-			b.WriteString("(" + s.opinion + ")")
+		if s.sizingNote != "" {
+			b.WriteString("(" + s.sizingNote + ")")
 		}
 	}
 	return b.String()
 }
 
-// versionsRun lists the versions that ran or may have run a request, in order and each
-// once in a row.
-func versionsRun(trail []step) (out []string) {
-	for _, s := range trail {
-		if didRun(s.result) && (len(out) == 0 || out[len(out)-1] != s.version) {
+// versionsRun lists the versions that ran or may have run a request, in order and without
+// consecutive duplicates.
+func versionsRun(attempts []attemptRecord) (out []string) {
+	for _, s := range attempts {
+		if mayHaveRun(s.result) && (len(out) == 0 || out[len(out)-1] != s.version) {
 			out = append(out, s.version)
 		}
 	}
 	return out
 }
 
-// didRun says that an attempt with this result ran or may have run.
-func didRun(result string) bool {
+// mayHaveRun reports whether an attempt with this result ran or may have run.
+func mayHaveRun(result string) bool {
 	switch result {
 	case "full", "misdirected", "unreached", "caller-left":
 		return false
--- a/gateway/forward/handler.go
+++ b/gateway/forward/handler.go
@@ -18,13 +18,13 @@
 	"goldcrestfork/router/refusal"
 )
 
-// State is what the VM knows of the operators' wishes.
+// State is the VM's view of the operators' configuration.
 type State interface {
-	// Config is the newest configuration; nil while none is known.
+	// Config returns the newest configuration; nil if none is known yet.
 	Config() *catalog.Config
-	// ConfigAge is how long ago the configuration was shown to be the newest.
+	// ConfigAge returns the time since the configuration was confirmed as the newest.
 	ConfigAge() time.Duration
-	// Known is closed when a configuration and the endpoints are known for the first time.
+	// Known returns a channel that is closed once a configuration and the endpoints are known.
 	Known() <-chan struct{}
 }
 
@@ -32,48 +32,49 @@
 type Versions interface {
 	// Begin opens a request of a session ("" for none) that lasts until deadline at most.
 	Begin(service, session string, deadline time.Time) Pin
-	// Answered takes what an endpoint made of a request.
+	// Answered records the result of an attempt.
 	Answered(a Answered)
 }
 
-// Pin is one request's hold on the version of its session.
+// Pin holds the version of a session for one request.
 type Pin interface {
-	// Choose returns the version for an attempt that is sent now.
+	// Choose returns the version for an attempt that is about to be sent.
 	Choose(ctx context.Context) (Choice, Why)
-	// End says that the request is over; version ran it last, "" if none did.
+	// End ends the request. version is the version that ran it last, "" if none did.
 	End(version string)
 }
 
-// Choice is the version that serves a session; both fields empty for any.
+// Choice is the version that serves a session; if both fields are empty, any version may.
 type Choice struct {
-	// Only is the version to use as long as it has endpoints.
+	// Only is the version to use while it has endpoints.
 	Only string
 	// Not is a version that must not be used.
 	Not string
 }
 
-// Why is what a choice rests on, for the request's log line.
+// Why is the reason for a choice of a version, for the request's log line.
 type Why struct {
-	// Reason is one of a few words; docs/OPERATIONS.md lists them.
+	// Reason is one of the values that docs/OPERATIONS.md lists.
 	Reason string
-	// RollOutAge is the time since the order as this VM knows it; 0 without one.
+	// RollOutAge is the time since the roll-out was ordered, as this VM knows it; 0 without a
+	// roll-out.
 	RollOutAge time.Duration
-	// Keeper is the VM that told the session's version, "" where none was asked, and
-	// SessionAge how long it has known the session; 0 for a new one.
+	// Keeper is the VM that supplied the session's version, "" if none was asked. SessionAge is
+	// how long that VM has known the session; 0 for a new one.
 	Keeper     string
 	SessionAge time.Duration
 }
 
-// Answered is one endpoint's answer, for the comparison of versions.
+// Answered is the result of one attempt, for the comparison of versions.
 type Answered struct {
 	Service, Version, Route, Model string
-	// Failed: the endpoint failed the request, by an error or a broken answer.
+	// Failed is set if the endpoint failed the request, by an error or a broken answer.
 	Failed bool
-	// Took is the time to the answer's head (streams) or end; 0 if it isn't known.
+	// Took is the time to the answer's head (streams) or its end; 0 if unknown.
 	Took time.Duration
 }
 
-// Config sets a handler.
+// Config holds a handler's dependencies and limits.
 type Config struct {
 	Names    Names
 	State    State
@@ -85,119 +86,124 @@
 	Load     Load
 	Metrics  *Metrics
 	Log      zerolog.Logger
-	// KeyProof is the age of the configuration's proof up to which keys are honoured:
-	// a key may have been taken away since.
+	// KeyProof returns the configuration age (State.ConfigAge) up to which keys are accepted. A
+	// key may have been revoked since then.
 	KeyProof func() time.Duration
-	// DenyProof is the age up to which the VM answers by itself that a path or key
-	// doesn't exist; it may have been added since.
+	// DenyProof is the configuration age up to which the VM answers that a path or key does not
+	// exist. It may have been added since then.
 	DenyProof time.Duration
 }
 
-// Budget bounds the attempts beyond the first, over all VMs.
+// Budget bounds the retries of requests over all VMs.
 type Budget interface {
 	// First counts a request's first attempt at a service.
 	First(service string)
-	// Again asks for one more attempt.
+	// Again reports whether one more attempt at a service is allowed, and counts it if so.
 	Again(service string) bool
 }
 
-// Load is the work that the fleet has under way.
+// Load exchanges the load of endpoints between the VMs.
 type Load interface {
-	// Ask brings what the other VMs have under way into the table, and waits some ms at most.
+	// Ask updates the placement table with the work that the other VMs have in progress. It
+	// waits a few ms at most.
 	Ask(ctx context.Context)
-	// Changed says that what this VM has under way is another now.
+	// Changed signals that the work that this VM has in progress has changed.
 	Changed()
 }
 
-// Poison finds requests that crash the endpoints that run them. A fingerprint says what
-// a request asks; each attempt is begun and ended once.
+// Poison detects requests that crash the endpoints that run them. A fingerprint identifies a
+// request's content. Begin and End are called once for each attempt.
 type Poison interface {
 	Quarantined(service string, fingerprint uint64) bool
 	Begin(service, endpoint string, fingerprint uint64)
 	End(a Attempt)
 }
 
-// Attempt is one attempt that has ended.
+// Attempt is a finished attempt, as reported to Poison.
 type Attempt struct {
 	Service, Endpoint, Address string
 	Fingerprint                uint64
-	// Survived: the endpoint gave a whole answer. Broke: its connection broke.
+	// Survived is set if the endpoint gave a complete answer, Broke if its connection broke.
 	Survived, Broke bool
 }
 
-// Handler serves callers.
+// Handler is the http.Handler that serves callers.
 type Handler struct {
-	cfg        Config
-	stopping   atomic.Bool
-	lastStream atomic.Pointer[time.Time]
-	active     atomic.Int64
-	overdue    *overdue
-	started    time.Time
+	cfg          Config
+	stopping     atomic.Bool
+	streamCutoff atomic.Pointer[time.Time]
+	active       atomic.Int64
+	overdue      *overduePolicy
+	started      time.Time
 }
 
-// New returns a handler.
+// New returns a handler for a configuration. Requests that arrive shortly afterwards wait until
+// State is known.
 func New(cfg Config) *Handler { return &Handler{cfg: cfg, overdue: newOverdue(), started: time.Now()} }
 
-// Stop makes each further answer the last on its connection, and turns streams away
-// that come after a time: they would not end before the VM does.
-func (h *Handler) Stop(lastStream time.Time) {
-	h.lastStream.Store(&lastStream)
+// Stop makes each further answer the last one on its connection. Streams that arrive after
+// streamCutoff are refused, since they would not end before the VM stops.
+func (h *Handler) Stop(streamCutoff time.Time) {
+	h.streamCutoff.Store(&streamCutoff)
 	h.stopping.Store(true)
 }
 
-// late says that a stream would outlive the VM.
-func (h *Handler) late(now time.Time) bool {
-	return h.stopping.Load() && now.After(*h.lastStream.Load())
+// refusesStreams reports whether a stream that starts now would outlive the VM.
+func (h *Handler) refusesStreams(now time.Time) bool {
+	return h.stopping.Load() && now.After(*h.streamCutoff.Load())
 }
 
-// Active is the number of requests under way.
+// Active returns the number of requests in progress.
 func (h *Handler) Active() int64 { return h.active.Load() }
 
 const (
-	// comeBackSoon is when a caller should try another VM: its next try picks one at random.
-	comeBackSoon = 100 * time.Millisecond
-	// defaultWait is a caller's time where it names none, half a minute as HTTP clients do.
-	defaultWait = 30 * time.Second
+	// shortRetryAfter is the delay after which a caller should try again; its next attempt
+	// picks a VM at random.
+	shortRetryAfter = 100 * time.Millisecond
+	// defaultTimeout applies if the caller states no time; HTTP clients commonly use 30 s.
+	defaultTimeout = 30 * time.Second
 )
 
+// ServeHTTP admits one request, sends it to endpoints and writes the answer or a refusal.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
 	c := &call{h: h, w: w, r: r, start: time.Now(), id: r.Header.Get(h.cfg.Names.RequestID)}
-	h.awaitStart(r)
+	h.awaitConfig(r)
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if bad := c.admit(); bad != nil {
-		c.refuse(bad)
+	if refused := c.admit(); refused != nil {
+		c.refuse(refused)
 		return
 	}
-	if bad := c.readBody(); bad != nil {
-		c.refuse(bad)
+	if refused := c.readBody(); refused != nil {
+		c.refuse(refused)
 		return
 	}
 	c.run()
 }
 
 const (
-	// startTime is how long after its start a VM holds requests that come before it knows what
-	// it serves. When hundreds come back at once a large configuration takes over half a second
-	// to reach them all; a caller that is sent away comes back to another that has just started.
-	startTime = time.Second
-	// startShare of the caller's time bounds what it is held.
-	startShare = 0.25
+	// startupHold is how long after its start a VM holds requests while it has no
+	// configuration. When hundreds of VMs start at once, a large configuration takes over half
+	// a second to reach all of them, and a refused caller would only try another VM that has
+	// just started.
+	startupHold = time.Second
+	// maxStartupHoldShare bounds the hold as a share of the caller's timeout.
+	maxStartupHoldShare = 0.25
 )
 
-// awaitStart holds a request to a VM that has just started.
-func (h *Handler) awaitStart(r *http.Request) {
+// awaitConfig holds a request until the configuration is known, if the VM has just started.
+func (h *Handler) awaitConfig(r *http.Request) {
 	select {
 	case <-h.cfg.State.Known():
 		return
 	default:
 	}
-	wait := time.Until(h.started.Add(startTime))
-	if given, ok := callerTime(r.Header, &h.cfg.Names); ok {
-		wait = min(wait, time.Duration(startShare*float64(given)))
+	wait := time.Until(h.started.Add(startupHold))
+	if given, ok := callerTimeout(r.Header, &h.cfg.Names); ok {
+		wait = min(wait, time.Duration(maxStartupHoldShare*float64(given)))
 	}
 	if wait <= 0 {
 		return
@@ -211,32 +217,33 @@
 	}
 }
 
-// admit finds out what the request may do.
+// admit checks the request's limits, route, key and id, and sets its deadline, prompt and
+// priority. It returns nil if the request is admitted.
 func (c *call) admit() *refusal.Refusal {
 	h := &c.h.cfg
 	c.conf = h.State.Config()
 	if c.conf == nil {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "no configuration yet").After(comeBackSoon)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "no configuration yet").After(shortRetryAfter)
 	}
-	c.age = h.State.ConfigAge()
-	if bad := c.checkLimits(); bad != nil {
-		return bad
+	c.configAge = h.State.ConfigAge()
+	if refused := c.checkLimits(); refused != nil {
+		return refused
 	}
 	c.route = c.conf.Match(c.r.Host, pathOf(c.r.RequestURI))
 	if c.route == nil {
 		return c.deny(http.StatusNotFound, refusal.NoSuchPath, "no route for this host and path")
 	}
-	if bad := c.checkKey(); bad != nil {
-		return bad
+	if refused := c.checkKey(); refused != nil {
+		return refused
 	}
 	if c.id == "" {
 		return refusal.New(http.StatusBadRequest, refusal.BadRequest, "a request needs an id")
 	}
-	if c.route.Kind == catalog.Streaming && c.h.late(c.start) {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Draining, "this VM is leaving").After(comeBackSoon)
+	if c.route.Kind == catalog.Streaming && c.h.refusesStreams(c.start) {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Draining, "this VM is leaving").After(shortRetryAfter)
 	}
 	c.setDeadline()
-	c.prompt = readPrompt(c.r.Header, &h.Names, c.route)
+	c.prompt = parsePrompt(c.r.Header, &h.Names, c.route)
 	c.priority = c.route.Priority
 	if c.account != nil && c.account.HasPriority {
 		c.priority = c.account.Priority
@@ -244,11 +251,11 @@
 	return nil
 }
 
-// deny answers that something doesn't exist, if the configuration is fresh enough to
-// say so.
+// deny refuses a request because something does not exist. If the configuration may be
+// outdated, the refusal is temporary instead.
 func (c *call) deny(status int, code refusal.Code, detail string) *refusal.Refusal {
-	if c.age > c.h.cfg.DenyProof {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "%s in a configuration that may be old", detail).After(comeBackSoon)
+	if c.configAge > c.h.cfg.DenyProof {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "%s in a configuration that may be old", detail).After(shortRetryAfter)
 	}
 	return refusal.New(status, code, "%s", detail)
 }
@@ -261,8 +268,8 @@
 	if c.route.Anonymous || !c.conf.Keyed() {
 		return nil
 	}
-	if c.age > c.h.cfg.KeyProof() {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "keys can't be checked now").After(comeBackSoon)
+	if c.configAge > c.h.cfg.KeyProof() {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "keys can't be checked now").After(shortRetryAfter)
 	}
 	if c.account == nil {
 		return c.deny(http.StatusUnauthorized, refusal.Unauthorized, "the key is unknown")
@@ -288,19 +295,19 @@
 }
 
 func (c *call) setDeadline() {
-	wait, ok := callerTime(c.r.Header, &c.h.cfg.Names)
+	wait, ok := callerTimeout(c.r.Header, &c.h.cfg.Names)
 	if !ok {
-		wait = defaultWait
+		wait = defaultTimeout
 	}
 	if t := c.route.Timeout; t > 0 && t < wait {
 		wait = t
 	}
-	c.whole = wait
+	c.timeout = wait
 	c.deadline = c.start.Add(wait)
 }
 
-// readBody takes the whole body: it may have to be sent again, and an endpoint that
-// reads it slower than the caller sends must not hold the caller's connection.
+// readBody reads the whole body into memory: it may have to be sent again, and an endpoint that
+// reads slower than the caller sends must not block the caller's connection.
 func (c *call) readBody() *refusal.Refusal {
 	if c.r.ContentLength == 0 {
 		return nil
@@ -311,7 +318,7 @@
 	}
 	limit := c.conf.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(c.r.Body, limit+1))
 	if err == nil && int64(len(body)) > limit {
@@ -331,8 +338,8 @@
 	return nil
 }
 
-// defaultBody bounds a body where the configuration doesn't.
-const defaultBody = 4 << 20
+// defaultMaxBodyBytes bounds a body if the configuration sets no limit.
+const defaultMaxBodyBytes = 4 << 20
 
-// newRand returns randomness for one choice.
+// newRand returns a random generator with a fresh seed for one choice.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/gateway/forward/harness_test.go
+++ b/gateway/forward/harness_test.go
@@ -22,7 +22,8 @@
 	"goldcrestfork/policy/placement"
 )
 
-// testNames are headers of the project's own, so that these tests name no one's wire.
+// testNames are header names that differ from those of the real protocol, so that the tests do
+// not depend on it.
 var testNames = Names{
 	RequestID: "X-Request", Deadline: "X-Deadline", Key: "X-Key", Account: "X-Account",
 	ExpectInstance: "X-Expect", Load: "X-Load", NotRun: "X-Not-Run",
@@ -31,8 +32,8 @@
 	Owned: []string{"X-Key", "X-Account", "X-Expect", "X-Hold"},
 }
 
-// endpoint is one stand-in endpoint; serve answers its requests.
-type endpoint struct {
+// fakeEndpoint is one endpoint; serve answers its requests.
+type fakeEndpoint struct {
 	id       string
 	server   *httptest.Server
 	runs     atomic.Int64
@@ -42,25 +43,25 @@
 	handlers []http.HandlerFunc
 }
 
-// world is one VM before some endpoints, with what the test sets.
-type world struct {
+// testEnv is one VM in front of fake endpoints, with the settings that the test controls.
+type testEnv struct {
 	t         testing.TB
 	handler   *Handler
-	front     *httptest.Server
+	vmServer  *httptest.Server
 	table     *placement.Table
 	state     *fakeState
 	versions  *fakeVersions
 	budget    *fakeBudget
 	poison    *fakePoison
-	endpoints []*endpoint
+	endpoints []*fakeEndpoint
 }
 
 type fakeState struct {
-	mu     sync.Mutex
-	known  chan struct{}
-	asked  func() // called when Known is; nil for nothing
-	config *catalog.Config
-	age    time.Duration
+	mu      sync.Mutex
+	known   chan struct{}
+	onKnown func() // called by Known; may be nil
+	config  *catalog.Config
+	age     time.Duration
 }
 
 func (s *fakeState) Config() *catalog.Config {
@@ -70,8 +71,8 @@
 }
 
 func (s *fakeState) Known() <-chan struct{} {
-	if s.asked != nil {
-		s.asked()
+	if s.onKnown != nil {
+		s.onKnown()
 	}
 	return s.known
 }
@@ -83,10 +84,10 @@
 }
 
 type fakeVersions struct {
-	mu     sync.Mutex
-	choice Choice
-	told   []Answered
-	ended  []string // versions, by request
+	mu            sync.Mutex
+	choice        Choice
+	answers       []Answered
+	endedVersions []string // one entry for each ended request
 }
 
 func (v *fakeVersions) Begin(string, string, time.Time) Pin { return v }
@@ -100,13 +101,13 @@
 func (v *fakeVersions) End(version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ended = append(v.ended, version)
+	v.endedVersions = append(v.endedVersions, version)
 }
 
 func (v *fakeVersions) Answered(a Answered) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told = append(v.told, a)
+	v.answers = append(v.answers, a)
 }
 
 type fakeBudget struct{ none atomic.Bool }
@@ -115,9 +116,9 @@
 func (b *fakeBudget) Again(string) bool { return !b.none.Load() }
 
 type fakePoison struct {
-	mu      sync.Mutex
-	crashes map[uint64]int
-	open    int // attempts begun and not ended
+	mu           sync.Mutex
+	crashes      map[uint64]int
+	openAttempts int // attempts begun and not ended
 }
 
 func (p *fakePoison) Quarantined(_ string, f uint64) bool {
@@ -129,22 +130,22 @@
 func (p *fakePoison) Begin(string, string, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open++
+	p.openAttempts++
 }
 
 func (p *fakePoison) End(a Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openAttempts--
 	if a.Broke {
 		p.crashes[a.Fingerprint]++
 	}
 }
 
-// newWorld starts a VM before n endpoints of one service, with a route of each kind.
-func newWorld(t testing.TB, n int) *world {
+// newTestEnv starts a VM with n endpoints of one service and a route of each kind.
+func newTestEnv(t testing.TB, n int) *testEnv {
 	t.Helper()
-	w := &world{t: t, table: placement.New("a"), state: &fakeState{known: make(chan struct{})}, versions: &fakeVersions{}, budget: &fakeBudget{}, poison: &fakePoison{crashes: map[uint64]int{}}}
+	w := &testEnv{t: t, table: placement.New("a"), state: &fakeState{known: make(chan struct{})}, versions: &fakeVersions{}, budget: &fakeBudget{}, poison: &fakePoison{crashes: map[uint64]int{}}}
 	branch := []catalog.Weighted{{Service: "s", Weight: 1}}
 	routes := []*catalog.Route{
 		{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.NonIdempotent, MaxAttempts: 3, Services: branch, Timeout: time.Minute},
@@ -170,11 +171,11 @@
 		KeyProof: func() time.Duration { return 4 * time.Second }, DenyProof: 2 * time.Second,
 	})
 	close(w.state.known)
-	w.front = httptest.NewServer(w.handler)
+	w.vmServer = httptest.NewServer(w.handler)
 	t.Cleanup(func() {
-		w.front.Close()
-		// Each place that was taken was given back, and each attempt ended once.
-		require.Zero(t, w.poison.open)
+		w.vmServer.Close()
+		// Each occupied slot was released, and each attempt ended once.
+		require.Zero(t, w.poison.openAttempts)
 		for _, row := range w.table.Rows(time.Now()) {
 			require.Zero(t, row.Running, row.ID)
 		}
@@ -182,8 +183,8 @@
 	return w
 }
 
-func (w *world) add(id string) *endpoint {
-	e := &endpoint{id: id}
+func (w *testEnv) add(id string) *fakeEndpoint {
+	e := &fakeEndpoint{id: id}
 	e.server = httptest.NewServer(http.HandlerFunc(e.serve))
 	w.t.Cleanup(func() {
 		e.server.CloseClientConnections()
@@ -194,9 +195,9 @@
 	return e
 }
 
-func (e *endpoint) address() string { return e.server.Listener.Addr().String() }
+func (e *fakeEndpoint) address() string { return e.server.Listener.Addr().String() }
 
-func (e *endpoint) serve(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEndpoint) serve(w http.ResponseWriter, r *http.Request) {
 	n := int(e.runs.Add(1))
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -222,9 +223,9 @@
 	_, _ = io.WriteString(w, "whole")
 }
 
-// all makes every endpoint answer in the same way; the n-th handler serves an
-// endpoint's n-th request, the last all later ones.
-func (w *world) all(h ...http.HandlerFunc) {
+// setHandlers makes all endpoints answer in the same way: the n-th handler serves an endpoint's
+// n-th request, and the last one all later requests.
+func (w *testEnv) setHandlers(h ...http.HandlerFunc) {
 	for _, e := range w.endpoints {
 		e.mu.Lock()
 		e.handlers = h
@@ -232,16 +233,16 @@
 	}
 }
 
-// runs is how many requests reached endpoints.
-func (w *world) runs() (n int64) {
+// totalRuns returns the number of requests that reached endpoints.
+func (w *testEnv) totalRuns() (n int64) {
 	for _, e := range w.endpoints {
 		n += e.runs.Load()
 	}
 	return n
 }
 
-// heads are the heads that endpoints saw.
-func (w *world) heads() (out []http.Header) {
+// headers returns the request headers that the endpoints received.
+func (w *testEnv) headers() (out []http.Header) {
 	for _, e := range w.endpoints {
 		e.mu.Lock()
 		out = append(out, e.seen...)
@@ -251,20 +252,21 @@
 }
 
 type result struct {
-	status int
-	header http.Header
-	body   string
-	err    error // of reading the body
-	last   bool  // the connection ends with this answer
+	status     int
+	header     http.Header
+	body       string
+	err        error // error of reading the body
+	lastOnConn bool  // the connection closes after this answer
 }
 
-// ask sends one request with a fresh id and the account's key.
-func (w *world) ask(method, path, body string, head ...string) result {
+// send sends one request with a fresh id and the account's key; head lists further headers as
+// names and values.
+func (w *testEnv) send(method, path, body string, head ...string) result {
 	w.t.Helper()
-	req, err := http.NewRequestWithContext(w.t.Context(), method, w.front.URL+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(w.t.Context(), method, w.vmServer.URL+path, strings.NewReader(body))
 	require.NoError(w.t, err)
 	req.Host = "h"
-	req.Header.Set(testNames.RequestID, fmt.Sprintf("r%d", asked.Add(1)))
+	req.Header.Set(testNames.RequestID, fmt.Sprintf("r%d", requestCount.Add(1)))
 	req.Header.Set(testNames.Key, "k")
 	req.Header.Set(testNames.Deadline, "20000")
 	for i := 0; i < len(head); i += 2 {
@@ -274,12 +276,12 @@
 	require.NoError(w.t, err)
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return result{status: resp.StatusCode, header: resp.Header, body: string(b), err: err, last: resp.Close}
+	return result{status: resp.StatusCode, header: resp.Header, body: string(b), err: err, lastOnConn: resp.Close}
 }
 
-var asked atomic.Int64
+var requestCount atomic.Int64
 
-// crash breaks the connection without an answer, as a process that ends does.
+// crash resets the connection without an answer, as a crashed process does.
 func crash(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -300,7 +302,8 @@
 	}
 }
 
-// events answers with events first..last, then ends in an orderly way or by a crash.
+// events answers with events first..last and then ends the stream, in the middle of an event if
+// cut is set.
 func events(first, last int, cut bool, head ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testNames.Signature, "sig")
@@ -329,7 +332,7 @@
 	return b.String()
 }
 
-// noLoad is a fleet of one VM: nobody else has anything under way.
+// noLoad implements Load for a single VM.
 type noLoad struct{}
 
 func (noLoad) Ask(context.Context) {}
--- a/gateway/forward/names.go
+++ b/gateway/forward/names.go
@@ -5,44 +5,49 @@
 	"strings"
 )
 
-// Names are the headers that carry a request's matters; the edge that callers and
-// endpoints speak to sets them.
+// Names are the HTTP headers that carry a request's metadata. The package that defines the
+// protocol with callers and endpoints sets them.
 type Names struct {
-	// RequestID is the caller's id of this attempt; endpoints echo it.
+	// RequestID is the caller's id of this attempt; endpoints echo it in the answer.
 	RequestID string
-	// Deadline is the time in ms that the caller, or the VM for an endpoint, will wait.
+	// Deadline is the time in ms that the caller waits for the answer; towards an endpoint, the
+	// time that the VM waits.
 	Deadline string
-	// Key is the caller's secret; it never reaches an endpoint. Account is what does.
+	// Key is the caller's API key, which is never sent to an endpoint. Account is the account
+	// name that is sent instead.
 	Key, Account string
-	// ExpectInstance makes any other life of an endpoint refuse.
+	// ExpectInstance is the id of the incarnation that the request is meant for; another
+	// incarnation at the same address refuses the request.
 	ExpectInstance string
-	// Load is an endpoint's "running,waiting,slots".
+	// Load is an endpoint's load as "running,waiting,slots".
 	Load string
-	// NotRun marks an endpoint's refusal of a request that did not run.
+	// NotRun marks an endpoint's refusal of a request that it did not run.
 	NotRun string
-	// Signature is an endpoint's receipt for an answer; a success without it is none.
+	// Signature is the endpoint's signature of an answer; a success without it is not accepted.
 	Signature string
-	// Confidence is the model's opinion of its answer, 0 to 100.
+	// Confidence is the model's confidence in its answer, 0 to 100.
 	Confidence string
-	// Model names the model, Parts the prompt's parts as ID:TOKENS.
+	// Model is the model that the caller asks for. Parts are the prompt's parts as a list of
+	// ID:TOKENS.
 	Model, Parts string
-	// Session ties requests of one conversation together.
+	// Session identifies the conversation that a request belongs to.
 	Session string
-	// LastEvent is the last event that the caller has of a stream.
+	// LastEvent is the id of the last event that the caller has received of a stream.
 	LastEvent string
-	// Cold is how many ms an endpoint stays cold.
+	// Cold is the time in ms that an endpoint remains in cold start.
 	Cold string
-	// Owned are headers that only the system sets; a caller's are taken out.
+	// Owned are the headers that only the system sets; they are removed from a caller's
+	// request.
 	Owned []string
 }
 
-// hopHeaders concern one connection only (RFC 9110, 7.6.1).
+// hopHeaders apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 }
 
-// endToEnd copies the headers that go on to the next hop.
+// endToEnd returns a copy of the headers without those that apply to a single connection.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	for k, v := range h {
--- a/gateway/forward/overdue.go
+++ b/gateway/forward/overdue.go
@@ -12,80 +12,83 @@
 )
 
 const (
-	// movesWindow, movesRatio and movesSlack bound the requests that this VM moves away from
-	// answers that are overdue: in an overload all are, and moving them makes it worse.
-	movesWindow = 10 * time.Second
-	movesRatio  = 0.25
-	movesSlack  = 3
+	// rerouteWindow, rerouteRatio and rerouteSlack bound the overdue requests that this VM
+	// sends to another endpoint. In an overload all answers are overdue, and a second attempt
+	// at each adds to the overload.
+	rerouteWindow = 10 * time.Second
+	rerouteRatio  = 0.25
+	rerouteSlack  = 3
 )
 
-// overdue holds what a VM knows of how long answers take.
-type overdue struct {
-	times *patience.Times
-	moves *retry.Window
+// overduePolicy holds the answer times of services and the budget for rerouted requests.
+type overduePolicy struct {
+	answerTimes   *patience.Times
+	rerouteBudget *retry.Window
 }
 
-func newOverdue() *overdue {
-	return &overdue{times: patience.NewTimes(), moves: retry.NewWindow(movesWindow, movesRatio, movesSlack)}
+func newOverdue() *overduePolicy {
+	return &overduePolicy{answerTimes: patience.NewTimes(), rerouteBudget: retry.NewWindow(rerouteWindow, rerouteRatio, rerouteSlack)}
 }
 
-// attempt is one attempt's time limit.
-type attempt struct {
+// timedAttempt is one attempt with its time limit for the head of the answer.
+type timedAttempt struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 	began  time.Time
 }
 
-// begin limits how long the attempt waits for the head of its answer, where it may be made
-// again elsewhere. end must be called when the answer was read.
-func (c *call) begin(ctx context.Context, ch placement.Choice) *attempt {
-	a := &attempt{began: time.Now()}
+// beginAttempt starts an attempt. If the request may be repeated, the wait for the head of the
+// answer is limited. The caller must call end once the answer is read.
+func (c *call) beginAttempt(ctx context.Context, ch placement.Choice) *timedAttempt {
+	a := &timedAttempt{began: time.Now()}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
-	c.h.overdue.moves.First(a.began)
+	c.h.overdue.rerouteBudget.First(a.began)
 	if !c.repeatable() {
 		return a
 	}
 	within := patience.WithinOf(ch.Expected)
 	if c.route.Kind != catalog.Streaming {
-		within = c.h.overdue.times.Within(c.service)
+		within = c.h.overdue.answerTimes.Within(c.service)
 	}
 	wait, ok := patience.For(patience.Attempt{
 		Within: within, Aim: c.route.Target, Left: c.deadline.Sub(a.began),
-		AttemptsLeft: c.route.MaxAttempts - c.sends - 1,
+		AttemptsLeft: c.route.MaxAttempts - c.possibleRuns - 1,
 	})
 	if !ok {
 		return a
 	}
 	a.timer = time.AfterFunc(wait, func() {
-		if c.h.overdue.moves.Again(time.Now(), 1) {
+		if c.h.overdue.rerouteBudget.Again(time.Now(), 1) {
 			a.cancel(upstream.ErrOverdue)
 		}
 	})
 	return a
 }
 
-// headed says that the head came.
-func (a *attempt) headed() {
+// headReceived stops the time limit, since the head of the answer has arrived.
+func (a *timedAttempt) headReceived() {
 	if a.timer != nil {
 		a.timer.Stop()
 	}
 }
 
-func (a *attempt) end() {
-	a.headed()
+func (a *timedAttempt) end() {
+	a.headReceived()
 	a.cancel(nil)
 }
 
-// isOverdue says that the attempt was given up for want of an answer.
-func (a *attempt) isOverdue() bool { return context.Cause(a.ctx) == upstream.ErrOverdue }
+// isOverdue reports whether the attempt was cancelled because its answer took too long.
+func (a *timedAttempt) isOverdue() bool { return context.Cause(a.ctx) == upstream.ErrOverdue }
 
-// moved settles an attempt that was given up; the request goes elsewhere.
-func (c *call) moved(ch placement.Choice, a *attempt) {
+// rerouteOverdue ends an attempt whose answer took too long, before the request goes to another
+// endpoint.
+func (c *call) rerouteOverdue(ch placement.Choice, a *timedAttempt) {
 	waited := time.Since(a.began)
-	c.sends++
+	c.possibleRuns++
 	c.tried = append(c.tried, ch.ID)
-	c.settle(ch, placement.Failed, "overdue")
-	// What the endpoint's version is judged by: the answer would have taken this long at least.
-	c.answered(ch, false, waited)
+	c.finishAttempt(ch, placement.Failed, "overdue")
+	// The comparison of versions counts the wait so far, which is a lower bound of the answer
+	// time.
+	c.reportAnswer(ch, false, waited)
 }
--- a/gateway/forward/overdue_test.go
+++ b/gateway/forward/overdue_test.go
@@ -7,40 +7,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lose runs a request and never answers it.
-func lose(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+// neverAnswer accepts a request and never answers it.
+func neverAnswer(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// An endpoint whose answer never comes is left while there is time for another.
+// An endpoint never answers: the request must go to another endpoint while there is time.
 func TestLostAnswerIsMadeElsewhere(t *testing.T) {
-	w := newWorld(t, 4)
-	w.endpoints[0].handlers = []http.HandlerFunc{lose}
+	w := newTestEnv(t, 4)
+	w.endpoints[0].handlers = []http.HandlerFunc{neverAnswer}
 	for _, e := range w.endpoints[1:] {
 		e.handlers = []http.HandlerFunc{events(1, 3, false)}
 	}
 	for w.endpoints[0].runs.Load() == 0 {
-		r := w.ask(http.MethodPost, "/aimed/a", "x")
+		r := w.send(http.MethodPost, "/aimed/a", "x")
 		require.Equal(t, http.StatusOK, r.status)
 		require.Equal(t, streamOf(1, 3), r.body)
 	}
 }
 
-// An answer that must not be made twice is waited for to the end.
+// A request that must not run twice waits for its answer until the deadline.
 func TestLostAnswerOfOneRunIsWaitedFor(t *testing.T) {
-	w := newWorld(t, 3)
-	w.all(lose)
-	r := w.ask(http.MethodPost, "/aimed-once/a", "x", testNames.Deadline, "400")
+	w := newTestEnv(t, 3)
+	w.setHandlers(neverAnswer)
+	r := w.send(http.MethodPost, "/aimed-once/a", "x", testNames.Deadline, "400")
 	require.Equal(t, http.StatusGatewayTimeout, r.status)
 	require.Equal(t, "unknown", r.header.Get("X-Ran"))
-	require.EqualValues(t, 1, w.runs())
+	require.EqualValues(t, 1, w.totalRuns())
 }
 
-// Where all answers are lost few requests are moved: in an overload each that is moved
-// makes the others later.
+// If no endpoint answers, only a few requests may be rerouted: in an overload each second
+// attempt delays the other requests.
 func TestFewRequestsAreMoved(t *testing.T) {
-	w := newWorld(t, 3)
-	w.all(lose)
+	w := newTestEnv(t, 3)
+	w.setHandlers(neverAnswer)
 	for range 12 {
-		w.ask(http.MethodPost, "/aimed/a", "x", testNames.Deadline, "100")
+		w.send(http.MethodPost, "/aimed/a", "x", testNames.Deadline, "100")
 	}
-	require.LessOrEqual(t, w.runs(), int64(12+movesSlack+12*movesRatio))
+	require.LessOrEqual(t, w.totalRuns(), int64(12+rerouteSlack+12*rerouteRatio))
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -13,77 +13,78 @@
 	"goldcrestfork/router/refusal"
 )
 
-// maxAnswer bounds the answer of a plain service that is held in memory; a longer one
-// is a fault of the endpoint.
-const maxAnswer = 8 << 20
+// maxAnswerBytes bounds an answer that is held in memory. A longer one counts as a fault of the
+// endpoint.
+const maxAnswerBytes = 8 << 20
 
-// plain makes one attempt at a request with a whole answer. The answer is taken in
-// full before its first byte goes on: one that breaks off can then still be replaced.
-func (c *call) plain(ctx context.Context, ch placement.Choice) (verdict, *refusal.Refusal) {
-	t := c.begin(ctx, ch)
+// attemptPlain makes one attempt at a request whose answer isn't a stream. The answer is read
+// in full before its first byte is passed on, so that another endpoint can still replace a
+// truncated one.
+func (c *call) attemptPlain(ctx context.Context, ch placement.Choice) (nextAction, *refusal.Refusal) {
+	t := c.beginAttempt(ctx, ch)
 	defer t.end()
 	a, err := c.send(t.ctx, ch, "")
 	if err != nil {
-		return c.failed(ctx, ch, t, err)
+		return c.handleSendError(ctx, ch, t, err)
 	}
-	t.headed()
+	t.headReceived()
 	defer a.Close()
-	if c.refused(ch, a) {
+	if c.handleNotRun(ch, a) {
 		drain(a)
-		return again, nil
+		return tryNext, nil
 	}
-	body, err := readWhole(a)
-	c.sends++
+	body, err := readAnswerBody(a)
+	c.possibleRuns++
 	c.tried = append(c.tried, ch.ID)
 	c.ran = refusal.DidRun
 	if err != nil {
 		if cause := ctx.Err(); cause != nil {
-			c.settle(ch, placement.Neutral, "ended")
-			return stop, c.ended(cause)
+			c.finishAttempt(ch, placement.Neutral, "ended")
+			return giveUp, c.contextRefusal(cause)
 		}
-		c.settle(ch, placement.Failed, "cut")
-		c.answered(ch, true, 0)
-		return c.unknown("the answer broke off")
+		c.finishAttempt(ch, placement.Failed, "cut")
+		c.reportAnswer(ch, true, 0)
+		return c.outcomeUnknown("the answer broke off")
 	}
 	took := time.Since(t.began)
-	c.h.overdue.times.Learn(c.service, took)
-	return c.judge(ch, a, body, took)
+	c.h.overdue.answerTimes.Learn(c.service, took)
+	return c.handleAnswer(ch, a, body, took)
 }
 
-// judge decides what to do with a whole answer.
-func (c *call) judge(ch placement.Choice, a *upstream.Answer, body []byte, took time.Duration) (verdict, *refusal.Refusal) {
+// handleAnswer decides what to do with a complete answer.
+func (c *call) handleAnswer(ch placement.Choice, a *upstream.Answer, body []byte, took time.Duration) (nextAction, *refusal.Refusal) {
 	n := &c.h.cfg.Names
 	if a.Status < 300 {
-		if !c.sound(a) {
-			c.settle(ch, placement.Failed, "unsound")
-			c.answered(ch, true, took)
-			return c.unknown("the answer is not the endpoint's whole answer")
+		if !c.isAuthentic(a) {
+			c.finishAttempt(ch, placement.Failed, "unsound")
+			c.reportAnswer(ch, true, took)
+			return c.outcomeUnknown("the answer is not the endpoint's whole answer")
 		}
-		c.settle(ch, placement.Good, resultOK)
-		c.answered(ch, false, took)
-		c.reply(a, body)
+		c.finishAttempt(ch, placement.Good, resultOK)
+		c.reportAnswer(ch, false, took)
+		c.writeAnswer(a, body)
 		return done, nil
 	}
-	own := a.Header.Get(n.RequestID) == c.id
+	idMatches := a.Header.Get(n.RequestID) == c.id
 	if a.Status >= 500 {
-		c.settle(ch, placement.Failed, "error")
-		c.answered(ch, true, took)
-		if c.repeatable() && c.mayGoOn() {
-			return again, nil
+		c.finishAttempt(ch, placement.Failed, "error")
+		c.reportAnswer(ch, true, took)
+		if c.repeatable() && c.reserveRetry() {
+			return tryNext, nil
 		}
 	} else {
-		c.settle(ch, placement.Good, "rejected")
+		c.finishAttempt(ch, placement.Good, "rejected")
 	}
-	if promises(a.Status) || !own {
-		// These statuses tell the caller that nothing ran; this endpoint didn't say so.
-		return stop, refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint answered %d", a.Status).WhichRan(refusal.Unknown)
+	if impliesNotRun(a.Status) || !idMatches {
+		// These statuses tell the caller that nothing ran, which this endpoint did not state.
+		return giveUp, refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint answered %d", a.Status).WhichRan(refusal.Unknown)
 	}
-	c.reply(a, body)
+	c.writeAnswer(a, body)
 	return done, nil
 }
 
-// promises says that a status tells callers that the request has not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status tells callers that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -91,26 +92,27 @@
 	return false
 }
 
-// sound says that a success is the endpoint's own and for this request.
-func (c *call) sound(a *upstream.Answer) bool {
+// isAuthentic reports whether a successful answer was made by the endpoint for this request: it
+// echoes the request id, has a signature and was not re-encoded on the way.
+func (c *call) isAuthentic(a *upstream.Answer) bool {
 	n := &c.h.cfg.Names
 	return a.Header.Get(n.RequestID) == c.id && a.Header.Get(n.Signature) != "" && a.Header.Get("Content-Encoding") == ""
 }
 
-// reply passes an answer on.
-func (c *call) reply(a *upstream.Answer, body []byte) {
-	c.copyHead(a)
+// writeAnswer passes a complete answer on to the caller.
+func (c *call) writeAnswer(a *upstream.Answer, body []byte) {
+	c.copyHeader(a)
 	c.status = a.Status
 	if a.Status >= 200 && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	c.w.WriteHeader(a.Status)
 	if _, err := c.w.Write(body); err != nil {
-		c.trail = append(c.trail, step{result: "caller-left"})
+		c.attemptRecords = append(c.attemptRecords, attemptRecord{result: "caller-left"})
 	}
 }
 
-func (c *call) copyHead(a *upstream.Answer) {
+func (c *call) copyHeader(a *upstream.Answer) {
 	h := c.w.Header()
 	for k, v := range endToEnd(a.Header) {
 		h[k] = v
@@ -120,18 +122,18 @@
 	}
 }
 
-func readWhole(a *upstream.Answer) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		return nil, errTooLong
+func readAnswerBody(a *upstream.Answer) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(a, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		return nil, errAnswerTooLong
 	}
 	return body, err
 }
 
-var errTooLong = errors.New("the answer is too long")
+var errAnswerTooLong = errors.New("the answer is over the size limit")
 
-// drain reads a short refusal to its end so that the connection can be used again.
+// drain reads a short refusal to its end so that the connection can be reused.
 func drain(a *upstream.Answer) {
-	// An error here only costs the connection, which Close then gives up.
+	// After an error here Close closes the connection.
 	_, _ = io.CopyN(io.Discard, a, 4<<10)
 }
--- a/gateway/forward/request.go
+++ b/gateway/forward/request.go
@@ -9,62 +9,64 @@
 	"goldcrestfork/gateway/catalog"
 )
 
-// part is one part of a prompt, shared by requests that have the same parts before it.
-type part struct {
+// promptPart is one part of a prompt. Requests share a part if all parts before it are the same
+// as well.
+type promptPart struct {
 	id     string
 	tokens int
 }
 
-// prompt is what a request says of its prompt.
+// prompt describes a request's prompt, as its headers state it.
 type prompt struct {
-	affinity string // the longest part that other requests share; empty for none
-	shared   int    // tokens of the parts that other requests share
-	whole    int    // tokens of all parts
-	wildcard bool   // the system chooses the model
+	sharedPrefix string // id of the longest prefix that other requests may share; empty for none
+	sharedTokens int    // tokens of the parts in that prefix
+	totalTokens  int    // tokens of all parts
+	wildcard     bool   // the system chooses the model
 }
 
-// anyModel is what a caller names when the system is to choose the model.
+// anyModel is the model name with which a caller lets the system choose the model.
 const anyModel = "*"
 
-func readPrompt(h http.Header, n *Names, r *catalog.Route) prompt {
-	var parts []part
+func parsePrompt(h http.Header, n *Names, r *catalog.Route) prompt {
+	var parts []promptPart
 	for f := range strings.SplitSeq(h.Get(n.Parts), ",") {
 		if id, tokens, ok := strings.Cut(strings.TrimSpace(f), ":"); ok {
-			parts = append(parts, part{id: id, tokens: number(tokens)})
+			parts = append(parts, promptPart{id: id, tokens: parseCount(tokens)})
 		}
 	}
 	p := prompt{wildcard: len(r.Models) > 0 && h.Get(n.Model) == anyModel}
 	for _, s := range parts {
-		p.whole += s.tokens
+		p.totalTokens += s.tokens
 	}
-	// The last part is the request's or its session's own. The one before is the
-	// longest that others share.
+	// The last part belongs to this request or its session alone. The part before it ends the
+	// longest prefix that other requests may share.
 	if n := len(parts); n >= 2 {
-		p.affinity = parts[n-2].id
+		p.sharedPrefix = parts[n-2].id
 		for _, s := range parts[:n-1] {
-			p.shared += s.tokens
+			p.sharedTokens += s.tokens
 		}
 	}
 	return p
 }
 
-// load is an endpoint's own word on its load, as of its answer.
-type load struct{ running, waiting, slots int }
+// endpointLoad is an endpoint's load in requests, as reported with its answer.
+type endpointLoad struct{ running, waiting, slots int }
 
-// readLoad reads it; what can't be read counts as no load.
-func readLoad(h string) load {
+// parseLoad parses a load header. A malformed header counts as no load.
+func parseLoad(h string) endpointLoad {
 	f := strings.Split(h, ",")
 	if len(f) != 3 {
-		return load{}
+		return endpointLoad{}
 	}
-	return load{running: number(f[0]), waiting: number(f[1]), slots: number(f[2])}
+	return endpointLoad{running: parseCount(f[0]), waiting: parseCount(f[1]), slots: parseCount(f[2])}
 }
 
-// under is how many requests the endpoint has.
-func (l load) under() int { return l.running + l.waiting }
+// inFlight returns the number of requests that run or wait at the endpoint.
+func (l endpointLoad) inFlight() int { return l.running + l.waiting }
 
-// number reads a count; what can't be read counts as 0, which only makes estimates worse.
-func number(s string) int {
+// parseCount parses a count. A malformed or negative one counts as 0, which only makes
+// estimates less accurate.
+func parseCount(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil {
 		return 0
@@ -72,19 +74,21 @@
 	return max(n, 0)
 }
 
-// callerTime reads the caller's patience; ok is false where it gave none.
-func callerTime(h http.Header, n *Names) (time.Duration, bool) {
+// callerTimeout returns how long the caller waits for the answer; ok is false if the request
+// states no time.
+func callerTimeout(h http.Header, n *Names) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(h.Get(n.Deadline)), 10, 64)
 	if err != nil || ms <= 0 {
 		return 0, false
 	}
-	return min(time.Duration(ms)*time.Millisecond, longest), true
+	return min(time.Duration(ms)*time.Millisecond, maxCallerTimeout), true
 }
 
-// longest bounds a caller's patience, which is arithmetic on durations after all.
-const longest = time.Hour
+// maxCallerTimeout bounds the time that a caller states, so that arithmetic on durations can't
+// overflow.
+const maxCallerTimeout = time.Hour
 
-// pathOf is the path that routes match, as the caller wrote it.
+// pathOf returns the path that routes are matched against, as the caller wrote it.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -16,165 +16,168 @@
 	"goldcrestfork/router/refusal"
 )
 
-// relay is the caller's side of a stream, over all endpoints that feed it.
-type relay struct {
-	started bool
-	last    int64 // id of the last event that went to the caller
-	any     bool  // an event with an id went to the caller
+// relayState is the caller's side of a stream, across all endpoints that supply it.
+type relayState struct {
+	flushed   bool
+	lastID    int64 // id of the last event that was sent to the caller
+	hasLastID bool  // lastID is set
 }
 
-// errBroken: the endpoint's stream ended before its end.
-var errBroken = errors.New("the stream broke off")
+// errStreamBroken is returned if an endpoint's stream ended before its last event was complete.
+var errStreamBroken = errors.New("the stream broke off")
 
-// errCaller: the caller's connection takes no more.
-var errCaller = errors.New("the caller left")
+// errCallerGone is returned if the caller's connection accepts no more data.
+var errCallerGone = errors.New("the caller left")
 
-// stream runs a request whose answer is a stream of events, over as many endpoints
-// as it takes and the route allows.
-func (c *call) stream(ctx context.Context, ch placement.Choice) (verdict, *refusal.Refusal) {
-	t := c.begin(ctx, ch)
+// attemptStream makes one attempt at a request whose answer is a stream of events. If the
+// stream breaks, it continues at further endpoints as far as the route allows.
+func (c *call) attemptStream(ctx context.Context, ch placement.Choice) (nextAction, *refusal.Refusal) {
+	t := c.beginAttempt(ctx, ch)
 	defer t.end()
 	a, err := c.send(t.ctx, ch, "")
 	if err != nil {
-		return c.failed(ctx, ch, t, err)
+		return c.handleSendError(ctx, ch, t, err)
 	}
-	t.headed()
+	t.headReceived()
 	defer a.Close()
-	if c.refused(ch, a) {
+	if c.handleNotRun(ch, a) {
 		drain(a)
-		return again, nil
+		return tryNext, nil
 	}
-	c.sends++
+	c.possibleRuns++
 	c.ran = refusal.DidRun
 	c.tried = append(c.tried, ch.ID)
 	if a.Status >= 300 {
-		body, err := readWhole(a)
+		body, err := readAnswerBody(a)
 		if err != nil {
-			c.settle(ch, placement.Failed, "cut")
-			c.answered(ch, true, 0)
-			return c.unknown("the answer broke off")
+			c.finishAttempt(ch, placement.Failed, "cut")
+			c.reportAnswer(ch, true, 0)
+			return c.outcomeUnknown("the answer broke off")
 		}
-		return c.judge(ch, a, body, time.Since(t.began))
+		return c.handleAnswer(ch, a, body, time.Since(t.began))
 	}
-	if !c.sound(a) {
-		c.settle(ch, placement.Failed, "unsound")
-		c.answered(ch, true, 0)
-		return c.unknown("the answer is not the endpoint's")
+	if !c.isAuthentic(a) {
+		c.finishAttempt(ch, placement.Failed, "unsound")
+		c.reportAnswer(ch, true, 0)
+		return c.outcomeUnknown("the answer is not the endpoint's")
 	}
-	c.answered(ch, false, time.Since(t.began))
-	if next, up := c.larger(a); up && c.mayGoOn() {
-		c.settle(ch, placement.Good, "weak")
+	c.reportAnswer(ch, false, time.Since(t.began))
+	if next, escalate := c.largerModel(a); escalate && c.reserveRetry() {
+		c.finishAttempt(ch, placement.Good, "weak")
 		c.model = next
-		c.tried = nil // another model on the same endpoint is another run
-		return again, nil
+		c.tried = nil // another model may run on an endpoint that was already tried
+		return tryNext, nil
 	}
 	c.h.cfg.Metrics.firstEvent.WithLabelValues(c.route.Kind.String()).Observe(time.Since(c.start).Seconds())
-	c.relay(ctx, ch, a)
+	c.relayStream(ctx, ch, a)
 	return done, nil
 }
 
-// larger decides by the answer's head whether another model is asked instead.
-func (c *call) larger(a *upstream.Answer) (int, bool) {
+// largerModel decides by the head of an answer whether a larger model is asked instead, and
+// returns its index.
+func (c *call) largerModel(a *upstream.Answer) (int, bool) {
 	if !c.prompt.wildcard {
 		return 0, false
 	}
-	conf, err := strconv.Atoi(a.Header.Get(c.h.cfg.Names.Confidence))
-	load := readLoad(a.Header.Get(c.h.cfg.Names.Load))
+	confidence, err := strconv.Atoi(a.Header.Get(c.h.cfg.Names.Confidence))
+	load := parseLoad(a.Header.Get(c.h.cfg.Names.Load))
 	now := time.Now()
-	look := c.h.cfg.Table.Outlook(now, newRand(), c.needOf(Choice{}, len(c.route.Models)-1))
+	outlook := c.h.cfg.Table.Outlook(now, newRand(), c.requestFor(Choice{}, len(c.route.Models)-1))
 	if err == nil {
-		c.opinion = fmt.Sprintf("%d,%d/%d,%d+%dms", conf, load.under(), load.slots, look.Wait.Milliseconds(), look.Read.Milliseconds())
+		c.sizingNote = fmt.Sprintf("%d,%d/%d,%d+%dms", confidence, load.inFlight(), load.slots, outlook.Wait.Milliseconds(), outlook.Read.Milliseconds())
 	}
 	return sizing.Next(sizing.Situation{
-		Models: c.route.Models, At: c.model, Confidence: conf, Known: err == nil,
-		Spent: now.Sub(c.start), Wait: look.Wait, Read: look.Read, Aim: c.route.Target, Under: load.under(), Slots: load.slots,
-		AttemptsLeft: c.route.MaxAttempts - c.sends, Left: c.deadline.Sub(now), Whole: c.whole,
+		Models: c.route.Models, At: c.model, Confidence: confidence, Known: err == nil,
+		Spent: now.Sub(c.start), Wait: outlook.Wait, Read: outlook.Read, Aim: c.route.Target, Under: load.inFlight(), Slots: load.slots,
+		AttemptsLeft: c.route.MaxAttempts - c.possibleRuns, Left: c.deadline.Sub(now), Whole: c.timeout,
 	})
 }
 
-// mayGoOn says that another attempt is allowed and there is time for it, and takes it
-// from the fleet's budget.
-func (c *call) mayGoOn() bool {
-	c.paid = c.sends < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.h.cfg.Budget.Again(c.service)
-	return c.paid
+// reserveRetry reports whether another attempt is allowed within the time left, and takes it
+// from the retry budget that the VMs share.
+func (c *call) reserveRetry() bool {
+	c.retryGranted = c.possibleRuns < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.h.cfg.Budget.Again(c.service)
+	return c.retryGranted
 }
 
-// relay passes a stream on, and resumes it elsewhere when its endpoint breaks off.
-// Once its head is with the caller there is no refusal any more: what can't be ended
-// whole is cut off so that it doesn't look complete.
-func (c *call) relay(ctx context.Context, ch placement.Choice, a *upstream.Answer) {
-	var r relay
-	c.copyHead(a)
+// relayStream passes a stream on to the caller and resumes it elsewhere if its endpoint breaks
+// off. Once the head is sent no refusal is possible any more: a stream that can't be completed
+// is aborted, so that it doesn't look complete.
+func (c *call) relayStream(ctx context.Context, ch placement.Choice, a *upstream.Answer) {
+	var r relayState
+	c.copyHeader(a)
 	c.status = a.Status
 	c.w.Header().Del("Content-Length")
 	c.w.WriteHeader(a.Status)
-	err := c.pass(&r, a)
+	err := c.copyEvents(&r, a)
 	for {
 		a.Close()
 		switch {
 		case err == nil:
-			c.settle(ch, placement.Good, resultOK)
+			c.finishAttempt(ch, placement.Good, resultOK)
 			return
-		case errors.Is(err, errCaller) || ctx.Err() != nil:
-			c.settle(ch, placement.Neutral, "ended")
+		case errors.Is(err, errCallerGone) || ctx.Err() != nil:
+			c.finishAttempt(ch, placement.Neutral, "ended")
 			c.abort("caller-left")
 		}
-		c.settle(ch, placement.Broken, resultBroken)
-		c.answered(ch, true, 0)
+		c.finishAttempt(ch, placement.Broken, resultBroken)
+		c.reportAnswer(ch, true, 0)
 		if !c.route.Resume {
 			c.abort("not resumable")
 		}
 		if ch, a = c.resume(ctx, &r); a == nil {
 			c.abort("not resumed")
 		}
-		err = c.pass(&r, a)
+		err = c.copyEvents(&r, a)
 	}
 }
 
-// resume finds another endpoint that goes on after the last event.
-func (c *call) resume(ctx context.Context, r *relay) (placement.Choice, *upstream.Answer) {
+// resume finds another endpoint that continues the stream after the last event. The answer is
+// nil if there is none.
+func (c *call) resume(ctx context.Context, r *relayState) (placement.Choice, *upstream.Answer) {
 	last := ""
-	if r.any {
-		last = strconv.FormatInt(r.last, 10)
+	if r.hasLastID {
+		last = strconv.FormatInt(r.lastID, 10)
 	} else {
 		last = c.r.Header.Get(c.h.cfg.Names.LastEvent)
 	}
 	for {
-		ch, bad := c.choose(ctx)
-		if bad != nil {
+		ch, refused := c.nextEndpoint(ctx)
+		if refused != nil {
 			return ch, nil
 		}
 		a, err := c.send(ctx, ch, last)
 		if err != nil {
-			if v, _ := c.failed(ctx, ch, nil, err); v == stop {
+			if v, _ := c.handleSendError(ctx, ch, nil, err); v == giveUp {
 				return ch, nil
 			}
 			continue
 		}
-		if c.refused(ch, a) {
+		if c.handleNotRun(ch, a) {
 			drain(a)
 			a.Close()
 			continue
 		}
-		c.sends++
+		c.possibleRuns++
 		c.tried = append(c.tried, ch.ID)
-		if a.Status < 300 && c.sound(a) {
+		if a.Status < 300 && c.isAuthentic(a) {
 			return ch, a
 		}
 		a.Close()
-		c.settle(ch, placement.Failed, "error")
-		c.answered(ch, true, 0)
+		c.finishAttempt(ch, placement.Failed, "error")
+		c.reportAnswer(ch, true, 0)
 	}
 }
 
-// abort cuts the caller's connection: the one way to say that the answer isn't whole.
-func (c *call) abort(why string) {
-	c.finish(why, http.StatusOK)
+// abort closes the caller's connection without the end of the answer, which is the only way
+// left to mark it as incomplete. It does not return.
+func (c *call) abort(outcome string) {
+	c.finish(outcome, http.StatusOK)
 	panic(http.ErrAbortHandler)
 }
 
-// pass copies whole events to the caller until the stream's end.
-func (c *call) pass(r *relay, a *upstream.Answer) error {
+// copyEvents copies whole events to the caller until the stream ends.
+func (c *call) copyEvents(r *relayState, a *upstream.Answer) error {
 	rc := http.NewResponseController(c.w)
 	var s sse.Splitter
 	buf := make([]byte, 4<<10)
@@ -182,46 +185,46 @@
 		n, rerr := a.Read(buf)
 		if n > 0 {
 			if !s.Add(buf[:n]) {
-				return errBroken
+				return errStreamBroken
 			}
 			wrote := false
 			for e := s.Next(); e != nil; e = s.Next() {
-				if !r.fresh(e) {
+				if !r.accept(e) {
 					continue
 				}
 				if _, err := c.w.Write(e); err != nil {
-					return errCaller
+					return errCallerGone
 				}
 				wrote = true
 			}
-			if wrote || !r.started {
-				r.started = true
+			if wrote || !r.flushed {
+				r.flushed = true
 				if err := rc.Flush(); err != nil {
-					return errCaller
+					return errCallerGone
 				}
 			}
 		}
 		if errors.Is(rerr, io.EOF) {
 			if len(s.Rest()) > 0 {
-				return errBroken
+				return errStreamBroken
 			}
 			return nil
 		}
 		if rerr != nil {
-			return errBroken
+			return errStreamBroken
 		}
 	}
 }
 
-// fresh says that the caller doesn't have the event yet, and notes it.
-func (r *relay) fresh(event []byte) bool {
+// accept reports whether the caller doesn't have the event yet, and records its id.
+func (r *relayState) accept(event []byte) bool {
 	id, ok := sse.ID(event)
 	if !ok {
 		return true
 	}
-	if r.any && id <= r.last {
+	if r.hasLastID && id <= r.lastID {
 		return false
 	}
-	r.last, r.any = id, true
+	r.lastID, r.hasLastID = id, true
 	return true
 }
--- a/gateway/upstream/doc.go
+++ b/gateway/upstream/doc.go
@@ -1,13 +1,13 @@
-// Package upstream is the HTTP/1.1 client of endpoints. It sends each request
-// exactly as often as it is told to: net/http's own client repeats a request by
-// itself when a kept connection turns out closed, which an endpoint may have run.
+// Package upstream is the HTTP/1.1 client for endpoints. It sends each request exactly as often
+// as its caller asks for: the client of net/http repeats a request by itself when a kept
+// connection turns out to be closed, and the endpoint may already have run that request.
 //
-// Load pattern: connections are kept and cost a round trip and a price when made
-// anew; endpoints close idle ones, add late second answers to them, or crash.
+// Load pattern: connections are kept open, because a new one costs a round trip and a charge.
+// Endpoints close idle connections, send a late second answer on them, or crash.
 //
-// An error says whether the request may have run (Error.Sent). An answer belongs to
-// its request only if it echoes the request's id; others on the connection are read
-// past.
+// An error states whether the request may have run (Error.Sent). An answer belongs to a request
+// only if it echoes the request's id; answers to other requests on the same connection are
+// skipped.
 //
-// Lock order: Pool.mu is a leaf and not held over the network.
+// Lock order: Pool.mu is a leaf and is not held during network calls.
 package upstream
--- a/gateway/upstream/exchange.go
+++ b/gateway/upstream/exchange.go
@@ -15,24 +15,27 @@
 // Request is one request to one endpoint.
 type Request struct {
 	Method string
-	Target string // path and query as they came
+	Target string // path and query as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is expected back in the header IDHeader of the answer.
+	// ID identifies the request; the endpoint echoes it in the answer header that IDHeader
+	// names.
 	ID, IDHeader string
-	// Once requests must not run twice; they go on fresh connections.
-	Once bool
+	// AtMostOnce marks a request that must not run twice. It is sent only on a connection that
+	// was used recently or is new.
+	AtMostOnce bool
 }
 
-// Error tells why there is no answer.
+// Error is the reason why a request got no answer.
 type Error struct {
-	// Sent says that bytes of the request may have reached the endpoint.
+	// Sent reports whether bytes of the request may have reached the endpoint.
 	Sent bool
-	// Cause is what went wrong.
+	// Cause is the underlying error.
 	Cause error
 }
 
+// Error describes the failure and whether the request may have been sent.
 func (e *Error) Error() string {
 	if e.Sent {
 		return "no answer to a request that was sent: " + e.Cause.Error()
@@ -40,52 +43,54 @@
 	return "not sent: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// ErrOverdue is the cause with which a request's context ends whose answer is waited for no
-// longer: it is sent elsewhere, and must not arrive here later.
+// ErrOverdue is the cancellation cause of a request's context when the answer takes too long
+// and the request is sent to another endpoint. Send then resets the connection, so that the
+// endpoint does not receive the request later.
 var ErrOverdue = errors.New("the answer is overdue")
 
-// errStranger: the connection carries answers to other requests only.
-var errStranger = errors.New("answers on the connection belong to other requests")
+// errForeignAnswer is returned when the connection carries only answers to other requests.
+var errForeignAnswer = errors.New("answers on the connection belong to other requests")
 
-// maxStrangers bounds the answers to other requests that are read past.
-const maxStrangers = 2
+// maxForeignAnswers bounds the answers to other requests that are skipped on one connection.
+const maxForeignAnswers = 2
 
-// Answer is the head of an endpoint's answer; its body is still to be read.
-// Close must be called.
+// Answer is the head of an endpoint's answer, from which the body is then read. The caller must
+// call Close.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, -1 if it isn't said.
+	// Length is the body's length in bytes; -1 if the endpoint does not state it.
 	Length int64
-	// Framed says that the end of the body can be told from a broken connection.
-	Framed bool
-
-	pool     *Pool
-	addr     string
-	c        *conn
-	resp     *http.Response
-	stop     func() bool
-	whole    bool // the body was read to its end
-	reusable bool
-	closed   bool
+	// HasFraming reports whether the answer states its length or is chunked, so that the end of
+	// the body differs from a broken connection.
+	HasFraming bool
+
+	pool                *Pool
+	addr                string
+	conn                *conn
+	resp                *http.Response
+	stopWatchingContext func() bool
+	complete            bool // the body was read to its end
+	reusable            bool
+	closed              bool
 }
 
-// Send sends a request and waits for the head of its answer. The context bounds the
-// whole exchange, the body included.
+// Send sends a request to an address and waits for the head of the answer. The context bounds
+// the whole exchange, including the body. A failure is returned as an *Error.
 func (p *Pool) Send(ctx context.Context, addr string, r *Request) (*Answer, error) {
-	c := p.take(addr, r.Once)
+	c := p.take(addr, r.AtMostOnce)
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, addr, dialTimeout); err != nil {
 			return nil, &Error{Cause: err}
 		}
 	}
-	a := &Answer{pool: p, addr: addr, c: c}
-	p.begin(a, !r.Once)
-	a.stop = context.AfterFunc(ctx, func() {
+	a := &Answer{pool: p, addr: addr, conn: c}
+	p.begin(a, !r.AtMostOnce)
+	a.stopWatchingContext = context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), ErrOverdue) {
 			c.abort()
 			return
@@ -97,17 +102,17 @@
 		a.Close()
 		return nil, &Error{Cause: err}
 	}
-	// A write that failed halfway may still have an answer, as when an endpoint
-	// refuses a long body before it has read it.
-	early := err != nil
-	if herr := a.head(r); herr != nil {
+	// A write that failed halfway may still have an answer: an endpoint may refuse a long body
+	// before it has read all of it.
+	partialWrite := err != nil
+	if headErr := a.readHead(r); headErr != nil {
 		a.Close()
 		if ctx.Err() != nil {
-			herr = fmt.Errorf("%w (%w)", ctx.Err(), herr)
+			headErr = fmt.Errorf("%w (%w)", ctx.Err(), headErr)
 		}
-		return nil, &Error{Sent: true, Cause: herr}
+		return nil, &Error{Sent: true, Cause: headErr}
 	}
-	a.reusable = !early && !a.resp.Close && a.Framed
+	a.reusable = !partialWrite && !a.resp.Close && a.HasFraming
 	return a, nil
 }
 
@@ -126,31 +131,31 @@
 	return c.Write(b.Bytes())
 }
 
-// head reads heads until one belongs to the request.
-func (a *Answer) head(r *Request) error {
+// readHead reads answers until one belongs to the request.
+func (a *Answer) readHead(r *Request) error {
 	req := &http.Request{Method: r.Method}
-	for range maxStrangers + 1 {
-		resp, err := readFinal(a.c.r, req)
+	for range maxForeignAnswers + 1 {
+		resp, err := readFinalResponse(a.conn.r, req)
 		if err != nil {
 			return err
 		}
 		a.resp, a.Status, a.Header, a.Length = resp, resp.StatusCode, resp.Header, resp.ContentLength
-		a.Framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+		a.HasFraming = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 		if id := resp.Header.Get(r.IDHeader); id == "" || id == r.ID {
 			return nil
 		}
-		if !a.Framed {
-			return errStranger
+		if !a.HasFraming {
+			return errForeignAnswer
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
 		}
 	}
-	return errStranger
+	return errForeignAnswer
 }
 
-// readFinal reads past interim answers (1xx).
-func readFinal(br *bufio.Reader, req *http.Request) (*http.Response, error) {
+// readFinalResponse skips interim responses (1xx) and returns the final one.
+func readFinalResponse(br *bufio.Reader, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(br, req)
 		if err != nil {
@@ -162,34 +167,34 @@
 	}
 }
 
-// Read reads the body. It returns io.EOF only at its whole end: a connection that
-// breaks before gives another error. Where the answer has no framing the end is the
-// connection's orderly end.
+// Read reads the body. It returns io.EOF only at the end of a complete body; a connection that
+// breaks earlier gives another error. Without framing, the orderly close of the connection is
+// the end of the body.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.resp.Body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if it can carry another request, and closes it
-// otherwise, which tells the endpoint to stop. Closing twice is harmless.
+// Close returns the connection to the pool if it can carry another request. Otherwise it closes
+// the connection, which tells the endpoint to stop work. Further calls have no effect.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
 	a.pool.end(a)
-	running := a.stop()
-	if !running || !a.whole || !a.reusable || a.c.r.Buffered() > 0 {
-		a.c.Close()
+	contextActive := a.stopWatchingContext()
+	if !contextActive || !a.complete || !a.reusable || a.conn.r.Buffered() > 0 {
+		a.conn.Close()
 		return
 	}
-	a.pool.put(a.addr, a.c, a.Header.Get("Keep-Alive"))
+	a.pool.put(a.addr, a.conn, a.Header.Get("Keep-Alive"))
 }
 
-// Idle is how many idle connections there are, for the state dump.
+// Idle returns the number of idle connections, for the state dump.
 func (p *Pool) Idle() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,7 +204,7 @@
 	return n
 }
 
-// Budget is the time left to a deadline in whole milliseconds, at least one.
-func Budget(deadline, now time.Time) string {
+// RemainingMillis formats the time left until a deadline in whole milliseconds, at least 1.
+func RemainingMillis(deadline, now time.Time) string {
 	return strconv.FormatInt(max(deadline.Sub(now).Milliseconds(), 1), 10)
 }
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -16,59 +16,63 @@
 )
 
 const (
-	// dialTimeout bounds a connect. A round trip between data centres takes 2 ms; a
-	// first packet that is lost is sent again after a second, which a caller with a
-	// short deadline can't wait for.
+	// dialTimeout bounds the time to connect. A round trip between data centres takes 2 ms. The
+	// retransmission of a lost first packet comes after one second, which is too late for a
+	// caller with a short deadline.
 	dialTimeout = 400 * time.Millisecond
-	// keepIdle is how long an idle connection is kept when the endpoint says nothing.
-	keepIdle = 10 * time.Second
-	// idleMargin is kept clear of the idle time that an endpoint states: a request on
-	// its way must not cross the close.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint states no
+	// timeout, and the upper bound if it does.
+	defaultIdleTimeout = 10 * time.Second
+	// idleMargin is subtracted from the idle timeout that an endpoint states, so that no
+	// request is in flight when the endpoint closes the connection.
 	idleMargin = time.Second
-	// freshIdle is how long a connection may have been idle to carry a request that
-	// must not run twice: closed under it, the request's fate would be unknown.
-	freshIdle = 300 * time.Millisecond
-	// maxIdle bounds the idle connections to one endpoint, which accepts some hundred from
-	// all VMs together and resets those beyond: 88 VMs that keep six take 528 of 590.
-	maxIdle = 6
-	// bufferSize holds a head and most plain bodies.
+	// maxIdleAtMostOnce is how long a connection may have been idle and still carry a request
+	// that must not run twice. If the endpoint closed the connection during the request, its
+	// outcome would be unknown.
+	maxIdleAtMostOnce = 300 * time.Millisecond
+	// maxIdleConns bounds the idle connections to one endpoint. An endpoint accepts some
+	// hundred connections from all VMs together and resets the excess: 88 VMs with 6
+	// connections each use 528 of 590.
+	maxIdleConns = 6
+	// bufferSize is in bytes; it holds an answer's head and most plain bodies.
 	bufferSize = 4 << 10
-	// unacknowledged is how long sent bytes may stay so before the connection counts as
-	// broken (TCP_USER_TIMEOUT): three retransmissions on a local network.
-	unacknowledged = 3 * time.Second
+	// userTimeout is how long sent bytes may stay unacknowledged before the connection counts
+	// as broken (TCP_USER_TIMEOUT): three retransmissions on a local network.
+	userTimeout = 3 * time.Second
 )
 
 // conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	since time.Time // idle since
-	keep  time.Duration
-	heard func() // called when bytes come
+	r         *bufio.Reader
+	idleSince time.Time // start of the idle period
+	keepFor   time.Duration
+	onRead    func() // called when bytes arrive
 }
 
-// Read reads from the endpoint, which thereby shows that it lives.
+// Read reads from the endpoint. Any received bytes show the silence detector that the endpoint
+// is alive.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.heard()
+		c.onRead()
 	}
 	return n, err
 }
 
-// Pool keeps idle connections by endpoint address.
+// Pool keeps idle connections by endpoint address. It is safe for concurrent use.
 type Pool struct {
-	mu     sync.Mutex
-	idle   map[string][]*conn
-	open   map[string]map[*Answer]struct{} // exchanges that may be made again elsewhere
-	dials  prometheus.Counter
-	silent *silence.Detector
+	mu        sync.Mutex
+	idle      map[string][]*conn
+	retryable map[string]map[*Answer]struct{} // exchanges in progress that may be repeated at another endpoint
+	dials     prometheus.Counter
+	detector  *silence.Detector
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool and registers its metrics with r.
 func NewPool(r prometheus.Registerer) *Pool {
 	p := &Pool{
-		idle: make(map[string][]*conn), open: make(map[string]map[*Answer]struct{}), silent: silence.New(),
+		idle: make(map[string][]*conn), retryable: make(map[string]map[*Answer]struct{}), detector: silence.New(),
 		dials: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "goldcrest_upstream_connections_total",
 			Help: "Connections made to endpoints.",
@@ -78,7 +82,8 @@
 	return p
 }
 
-// take returns an idle connection that is still open, or nil.
+// take removes an idle connection that is still open from the pool and returns it, or nil. For
+// a request that must not run twice (once), it must have been used recently.
 func (p *Pool) take(addr string, once bool) *conn {
 	now := time.Now()
 	for {
@@ -91,17 +96,17 @@
 		c := list[len(list)-1]
 		p.idle[addr] = list[:len(list)-1]
 		p.mu.Unlock()
-		idle := now.Sub(c.since)
-		if idle < c.keep && (!once || idle < freshIdle) && c.quiet() {
+		idle := now.Sub(c.idleSince)
+		if idle < c.keepFor && (!once || idle < maxIdleAtMostOnce) && c.usable() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-// quiet says that the connection is open and has nothing to read: an end of file, or
-// bytes that belong to no request, make it useless.
-func (c *conn) quiet() bool {
+// usable reports whether the connection is open and has nothing to read. An end of file, or
+// bytes that belong to no request, make it unusable.
+func (c *conn) usable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -120,23 +125,23 @@
 }
 
 func (p *Pool) put(addr string, c *conn, keepAlive string) {
-	c.since = time.Now()
-	c.keep = keepIdle
-	if s, ok := timeoutOf(keepAlive); ok {
-		c.keep = min(s-idleMargin, keepIdle)
+	c.idleSince = time.Now()
+	c.keepFor = defaultIdleTimeout
+	if s, ok := keepAliveTimeout(keepAlive); ok {
+		c.keepFor = min(s-idleMargin, defaultIdleTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
-	if c.keep <= 0 || len(list) >= maxIdle {
+	if c.keepFor <= 0 || len(list) >= maxIdleConns {
 		c.Close()
 		return
 	}
 	p.idle[addr] = append(list, c)
 }
 
-// timeoutOf reads the seconds of a Keep-Alive header.
-func timeoutOf(h string) (time.Duration, bool) {
+// keepAliveTimeout parses the timeout of a Keep-Alive header.
+func keepAliveTimeout(h string) (time.Duration, bool) {
 	for _, part := range strings.Split(h, ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			n, err := strconv.Atoi(v)
@@ -146,7 +151,7 @@
 	return 0, false
 }
 
-// Sweep closes connections that were idle for too long.
+// Sweep closes the connections whose idle time is over.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.mu.Lock()
@@ -154,7 +159,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.since) < c.keep {
+			if now.Sub(c.idleSince) < c.keepFor {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -168,14 +173,15 @@
 	}
 }
 
-// Gone says that the address belongs to no endpoint any more.
+// Gone forgets an address that no longer belongs to an endpoint and closes its idle
+// connections.
 func (p *Pool) Gone(addr string) {
-	p.silent.Forget(addr)
-	p.drop(addr)
+	p.detector.Forget(addr)
+	p.closeIdle(addr)
 }
 
-// drop closes the idle connections to an address.
-func (p *Pool) drop(addr string) {
+// closeIdle closes the idle connections to an address.
+func (p *Pool) closeIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
@@ -184,7 +190,8 @@
 	delete(p.idle, addr)
 }
 
-// Connects reports whether an address takes a connection, which is kept for a request.
+// Connects reports whether an address accepts a connection. The new connection is kept for a
+// later request.
 func (p *Pool) Connects(addr string) bool {
 	c, err := p.dial(context.Background(), addr, dialTimeout)
 	if err != nil {
@@ -203,13 +210,14 @@
 	if err != nil {
 		return nil, err
 	}
-	setUserTimeout(nc, unacknowledged)
-	c := &conn{Conn: nc, heard: func() { p.silent.Heard(time.Now(), addr) }}
+	setUserTimeout(nc, userTimeout)
+	c := &conn{Conn: nc, onRead: func() { p.detector.Heard(time.Now(), addr) }}
 	c.r = bufio.NewReaderSize(c, bufferSize)
 	return c, nil
 }
 
-// setUserTimeout sets TCP_USER_TIMEOUT; a system without it leaves keep-alive probes alone.
+// setUserTimeout sets TCP_USER_TIMEOUT. On a system without the option only the keep-alive
+// probes detect a broken connection.
 func setUserTimeout(nc net.Conn, d time.Duration) {
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -219,7 +227,7 @@
 	if err != nil {
 		return
 	}
-	const tcpUserTimeout = 18 // linux/tcp.h; package syscall doesn't name it
+	const tcpUserTimeout = 18 // from linux/tcp.h; package syscall does not define it
 	_ = raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
--- a/gateway/upstream/watch.go
+++ b/gateway/upstream/watch.go
@@ -11,83 +11,85 @@
 )
 
 const (
-	// watchEvery is the time between looks at which endpoints are silent.
-	watchEvery = 50 * time.Millisecond
-	// heldUp is how far past its time a question may end and still tell of the endpoint.
-	// Beyond that this VM was paused or had no processor time, and an answer may be waiting.
-	heldUp = 100 * time.Millisecond
+	// watchInterval is the time between two checks for silent endpoints.
+	watchInterval = 50 * time.Millisecond
+	// maxProbeOverrun is how far a probe may overrun its timeout and still count against the
+	// endpoint. After a longer overrun this VM was paused or had no processor time, and an
+	// answer may already be waiting.
+	maxProbeOverrun = 100 * time.Millisecond
 )
 
-// begin notes that a request waits; again says that it may be sent elsewhere as well.
-func (p *Pool) begin(a *Answer, again bool) {
-	p.silent.Sent(time.Now(), a.addr)
-	if !again {
+// begin records that a request waits for an answer. If retryable is set, the request may also
+// be sent to another endpoint.
+func (p *Pool) begin(a *Answer, retryable bool) {
+	p.detector.Sent(time.Now(), a.addr)
+	if !retryable {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open[a.addr] == nil {
-		p.open[a.addr] = make(map[*Answer]struct{})
+	if p.retryable[a.addr] == nil {
+		p.retryable[a.addr] = make(map[*Answer]struct{})
 	}
-	p.open[a.addr][a] = struct{}{}
+	p.retryable[a.addr][a] = struct{}{}
 }
 
-// end notes that a request waits no more.
+// end records that a request no longer waits.
 func (p *Pool) end(a *Answer) {
-	p.silent.Ended(a.addr)
+	p.detector.Ended(a.addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.open[a.addr], a)
-	if len(p.open[a.addr]) == 0 {
-		delete(p.open, a.addr)
+	delete(p.retryable[a.addr], a)
+	if len(p.retryable[a.addr]) == 0 {
+		delete(p.retryable, a.addr)
 	}
 }
 
-// Watch asks endpoints that are silent for a connection, until the context ends. Requests
-// that wait at a lost one and may run again get an error; those that may not wait on for
-// an answer, since the endpoint may have run them. told hears of endpoints that are lost
-// and of those that are back.
-func (p *Pool) Watch(ctx context.Context, told func(address string, lost bool)) {
-	t := time.NewTicker(watchEvery)
+// Watch probes silent endpoints with a new connection until the context ends. Requests that
+// wait at a lost endpoint and may run again get an error. Requests that must not run twice
+// continue to wait for an answer, since the endpoint may have run them. Watch calls notify for
+// each endpoint that becomes lost or available again.
+func (p *Pool) Watch(ctx context.Context, notify func(address string, lost bool)) {
+	t := time.NewTicker(watchInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			for _, addr := range p.silent.Due(time.Now()) {
-				go p.ask(ctx, addr, told)
+			for _, addr := range p.detector.Due(time.Now()) {
+				go p.probe(ctx, addr, notify)
 			}
 		}
 	}
 }
 
-// ask asks one endpoint until the answer is clear.
-func (p *Pool) ask(ctx context.Context, addr string, told func(string, bool)) {
+// probe probes one endpoint until the result is certain.
+func (p *Pool) probe(ctx context.Context, addr string, notify func(string, bool)) {
 	for {
-		began := time.Now()
-		answered := p.answers(ctx, addr)
+		started := time.Now()
+		answered := p.responds(ctx, addr)
 		now := time.Now()
-		late := now.Sub(began) > silence.AnswerWithin+heldUp
-		switch p.silent.Asked(began, now, addr, answered, late) {
+		overran := now.Sub(started) > silence.AnswerWithin+maxProbeOverrun
+		switch p.detector.Asked(started, now, addr, answered, overran) {
 		case silence.Unsure:
 			if ctx.Err() == nil {
 				continue
 			}
 		case silence.Lost:
-			told(addr, true)
-			p.giveUp(addr)
+			notify(addr, true)
+			p.abortRetryable(addr)
 		case silence.Back:
-			told(addr, false)
+			notify(addr, false)
 		case silence.Alive, silence.StillLost:
 		}
 		return
 	}
 }
 
-// answers says that something answers at an address, be it with a refusal. A connection
-// that was made is kept for a request.
-func (p *Pool) answers(ctx context.Context, addr string) bool {
+// responds reports whether anything answers at an address, even with a refusal or a reset. A
+// new connection is kept for a later request.
+func (p *Pool) responds(ctx context.Context, addr string) bool {
 	c, err := p.dial(ctx, addr, silence.AnswerWithin)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
@@ -96,24 +98,24 @@
 	return true
 }
 
-// giveUp closes the connections to a lost endpoint, but for those whose request must not
-// run again.
-func (p *Pool) giveUp(addr string) {
-	p.drop(addr)
+// abortRetryable closes the idle connections to a lost endpoint and resets those whose requests
+// may run again.
+func (p *Pool) abortRetryable(addr string) {
+	p.closeIdle(addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a := range p.open[addr] {
-		a.c.abort()
+	for a := range p.retryable[addr] {
+		a.conn.abort()
 	}
 }
 
-// abort closes the connection and takes back what the endpoint hasn't acknowledged. An
-// orderly close would have the kernel go on sending it: the request then reaches the
-// endpoint seconds later, when a cut heals, and runs beside the one sent elsewhere, or at
-// an endpoint that has drained meanwhile.
+// abort resets the connection and discards the bytes that the endpoint has not acknowledged.
+// After an orderly close the kernel would continue to send them: when a network partition heals
+// seconds later, the endpoint would run the request in parallel with the one sent elsewhere, or
+// run it after it had drained.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // on a connection that is closed already there is nothing to take back
+		_ = tcp.SetLinger(0) // fails only on a closed connection, which has nothing to discard
 	}
 	c.Close()
 }
--- a/gateway/upstream/watch_test.go
+++ b/gateway/upstream/watch_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unplug makes a listener take no further connections without refusing them, as a machine
-// without power does: its queue of one is full and the kernel drops what comes.
-func unplug(t *testing.T, l net.Listener) {
+// dropNewConnections makes a listener neither accept nor refuse further connections, as a
+// machine without power does: its queue of one is full and the kernel drops new packets.
+func dropNewConnections(t *testing.T, l net.Listener) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
@@ -29,8 +29,8 @@
 	}
 }
 
-// watch runs the pool's watch; the addresses that it finds lost come out.
-func watch(t *testing.T, p *Pool) <-chan string {
+// watchLost runs Pool.Watch and returns a channel of the addresses that it reports lost.
+func watchLost(t *testing.T, p *Pool) <-chan string {
 	t.Helper()
 	lost := make(chan string, 8)
 	go p.Watch(t.Context(), func(address string, is bool) {
@@ -41,9 +41,9 @@
 	return lost
 }
 
-// An endpoint has read a lookup and a booking and falls silent: no reset, no answer. The
-// lookup's sender hears that it is lost while there is time for another endpoint. The
-// booking may have run, so that its sender waits on, and has its answer when the cut heals.
+// An endpoint reads an idempotent lookup and a non-idempotent booking and then falls silent,
+// without a reset. The lookup must fail while there is time for another endpoint. The booking
+// may have run, so it must wait on and get its answer when the partition heals.
 func TestRequestsAtASilentEndpoint(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,50 +67,50 @@
 					return
 				}
 				<-healed
-				ok(c, "2", "booked")
+				writeOK(c, "2", "booked")
 			}()
 			read <- struct{}{}
 		}
 		<-t.Context().Done()
 	}()
-	p := pool(t)
+	p := newTestPool(t)
 	lookup, booking := make(chan error, 1), make(chan error, 1)
 	send := func(r *Request, out chan error) {
-		_, err := whole(t, p, l.Addr().String(), r)
+		_, err := sendAndRead(t, p, l.Addr().String(), r)
 		out <- err
 	}
-	once := get("2")
-	once.Once = true
-	go send(get("1"), lookup)
+	once := newGet("2")
+	once.AtMostOnce = true
+	go send(newGet("1"), lookup)
 	go send(once, booking)
 	<-read
 	<-read
-	unplug(t, l)
-	lost := watch(t, p)
+	dropNewConnections(t, l)
+	lost := watchLost(t, p)
 
 	var e *Error
 	require.ErrorAs(t, <-lookup, &e)
 	require.True(t, e.Sent)
 	require.Equal(t, l.Addr().String(), <-lost)
-	// A reset takes back what is on its way; an orderly end would still deliver it.
+	// A reset discards bytes in flight; an orderly close would still deliver them.
 	require.ErrorIs(t, <-ended, syscall.ECONNRESET)
 	close(healed)
 	require.NoError(t, <-booking)
 }
 
-// An endpoint is busy for longer than it takes to be asked, and takes connections. Its
-// answer reaches the caller.
+// An endpoint that accepts connections takes longer to answer than a probe takes. Its answer
+// must still reach the caller.
 func TestBusyEndpointIsWaitedFor(t *testing.T) {
 	answer := make(chan struct{})
 	s := serve(t, func(c net.Conn, _, _ int, r *http.Request) bool {
 		<-answer
-		return ok(c, r.Header.Get(idHeader), "a")
+		return writeOK(c, r.Header.Get(idHeader), "a")
 	})
-	p := pool(t)
-	lost := watch(t, p)
+	p := newTestPool(t)
+	lost := watchLost(t, p)
 	body := make(chan string, 1)
 	go func() {
-		a, err := p.Send(t.Context(), s.Addr().String(), get("1"))
+		a, err := p.Send(t.Context(), s.Addr().String(), newGet("1"))
 		if err != nil {
 			body <- err.Error()
 			return
@@ -119,7 +119,7 @@
 		b, _ := io.ReadAll(a)
 		body <- string(b)
 	}()
-	require.Eventually(t, func() bool { return s.conns.Load() >= 2 }, 10*time.Second, time.Millisecond, "it was never asked")
+	require.Eventually(t, func() bool { return s.conns.Load() >= 2 }, 10*time.Second, time.Millisecond, "the endpoint was never probed")
 	close(answer)
 	require.Equal(t, "a", <-body)
 	require.Empty(t, lost)
