--- a/gateway/explain/doc.go
+++ b/gateway/explain/doc.go
@@ -1,5 +1,5 @@
-// Package explain leads from a request's id to its cause, by the log lines that VMs write:
-// what the request's line says in words, and what the VM came to believe shortly before.
+// Package explain finds the cause of a request's result from the log lines of VMs: it describes
+// the request's own line and lists the VM's lines shortly before.
 //
-// It reads lines only and has no network and no clock.
+// It reads log lines only and uses no network and no clock.
 package explain
--- a/gateway/explain/explain.go
+++ b/gateway/explain/explain.go
@@ -13,12 +13,12 @@
 	"goldcrestfork/router/refusal"
 )
 
-// Before is how far back from a request's end the VM's other lines are shown: a request
-// lasts some seconds, and what decided about it was mostly learnt within those.
-const Before = 10 * time.Second
+// ContextWindow is how far before a request's end the VM's other lines are listed. A request
+// lasts some seconds, and most of what decided its result was logged within them.
+const ContextWindow = 10 * time.Second
 
-// longestLine bounds a log line; a state change of a large fleet is some KB.
-const longestLine = 1 << 20
+// maxLineBytes bounds the size of a log line; a state change of a large fleet is some KB.
+const maxLineBytes = 1 << 20
 
 // Line is one log line of a VM.
 type Line struct {
@@ -39,7 +39,8 @@
 	Ran      string    `json:"ran"`
 	Attempts string    `json:"attempts"`
 	Endpoint string    `json:"endpoint"`
-	// Session marks a session; Versions ran the request, in order, with spaces between.
+	// Session identifies a session; Versions are the versions that ran the request, in order,
+	// separated by spaces.
 	Session    string `json:"session"`
 	Versions   string `json:"versions"`
 	Reason     string `json:"version_reason"`
@@ -47,21 +48,22 @@
 	Keeper     string `json:"session_keeper"`
 	SessionAge int64  `json:"session_age_ms"`
 
+	// raw is the JSON of the line.
 	raw string
 }
 
-// Log is what was read of some VMs' logs.
+// Log holds the log lines of some VMs.
 type Log struct {
 	Lines []Line
-	// Unreadable counts lines that are no log line of a VM.
+	// Unreadable counts the lines that are no log line of a VM.
 	Unreadable int
 }
 
-// Read adds a log's lines. Whatever stands before a line's first brace is passed over,
-// as a collector's own time and source.
+// Read adds the lines of a log. Text before a line's first brace is skipped, such as a log
+// collector's own time and source.
 func (l *Log) Read(r io.Reader) error {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, longestLine)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
 		text := sc.Bytes()
 		at := bytes.IndexByte(text, '{')
@@ -76,8 +78,8 @@
 	return sc.Err()
 }
 
-// outcomes says in words what a request's outcome means and where to look next.
-var outcomes = map[string]string{
+// outcomeTexts describes each outcome of a request.
+var outcomeTexts = map[string]string{
 	"answered":                       "the endpoint's own answer was passed on whole",
 	"caller-left":                    "the caller's connection ended first",
 	"not resumed":                    "the stream broke off and no attempt was left, or no endpoint could go on with it; the caller's connection was cut",
@@ -85,7 +87,7 @@
 	string(refusal.Overloaded):       "refused without having run: no endpoint could take it",
 	string(refusal.OutcomeUnknown):   "an endpoint may have run it and it may not be repeated",
 	string(refusal.EndpointFailed):   "the attempts that the route allows failed",
-	string(refusal.Stale):            "refused: the proof that the configuration is the newest was too old to trust a key, a missing path or a missing key",
+	string(refusal.Stale):            "refused: the last confirmation of the configuration as the newest was too old to trust a key, a missing path or a missing key",
 	string(refusal.NotReady):         "refused: the VM knew no configuration yet",
 	string(refusal.Draining):         "refused: the VM was stopping and the stream would have outlived it",
 	string(refusal.DeadlineTooShort): "the caller's time or the route's timeout was over",
@@ -96,15 +98,15 @@
 	string(refusal.BadRequest):       "the request can't be read",
 }
 
-// results says in words what became of an attempt.
-var results = map[string]string{
+// resultTexts describes each result of an attempt.
+var resultTexts = map[string]string{
 	"ok": "answered whole", "weak": "answered, dropped for a larger model", "full": "refused for want of room, did not run",
-	"misdirected": "another life of the endpoint is at its address, did not run", "unreached": "took no connection",
+	"misdirected": "another instance of the endpoint is at its address, did not run", "unreached": "took no connection",
 	"broken": "its connection broke after the request was sent", "cut": "its answer broke off", "unsound": "answered with what is not its answer to this request",
 	"error": "answered with an error", "rejected": "rejected the request itself", "ended": "was still at it when the caller left or the time was over",
 }
 
-// Write explains a request, and says whether the log has it.
+// Write explains the request with the given id and reports whether the log has it.
 func (l *Log) Write(w io.Writer, id string) (found bool, err error) {
 	b := new(bytes.Buffer)
 	for _, line := range l.Lines {
@@ -113,7 +115,7 @@
 		}
 		found = true
 		line.write(b)
-		l.beliefs(b, line)
+		l.writeContext(b, line)
 	}
 	if !found {
 		fmt.Fprintf(b, "No line of request %s: it did not reach these VMs, or its caller left before its head was read.\n", id)
@@ -124,7 +126,7 @@
 
 func (r Line) write(b *bytes.Buffer) {
 	fmt.Fprintf(b, "%s  %s  status %d, outcome %s after %d ms of %d\n", r.Time.Format(time.RFC3339), r.VM, r.Status, r.Outcome, r.Took, r.Wait)
-	if text := outcomes[r.Outcome]; text != "" {
+	if text := outcomeTexts[r.Outcome]; text != "" {
 		fmt.Fprintf(b, "  %s\n", text)
 	}
 	if r.Route != "" {
@@ -141,17 +143,17 @@
 	}
 }
 
-// attempt is one step of a request's trail.
+// attempt is one attempt at an endpoint.
 type attempt struct{ where, endpoint, result string }
 
 func (a attempt) text() string {
-	if t := results[a.result]; t != "" {
+	if t := resultTexts[a.result]; t != "" {
 		return a.result + ", " + t
 	}
 	return a.result
 }
 
-// attempts reads "endpoint/model=result" lists.
+// attempts parses the list of "endpoint/model=result" in Attempts.
 func (r Line) attempts() (out []attempt) {
 	for f := range strings.FieldsSeq(r.Attempts) {
 		where, result, ok := strings.Cut(f, "=")
@@ -168,12 +170,12 @@
 	return out
 }
 
-// beliefs lists what the VM came to believe shortly before the request's end: all that
-// isn't about a request, and of endpoints only those that it was sent to.
-func (l *Log) beliefs(b *bytes.Buffer, r Line) {
+// writeContext lists the VM's lines shortly before the request's end: all lines that are not
+// about a request, and of the lines about endpoints only those that the request was sent to.
+func (l *Log) writeContext(b *bytes.Buffer, r Line) {
 	at := r.attempts()
 	for _, line := range l.Lines {
-		if line.VM != r.VM || line.Request != "" || line.Time.After(r.Time) || r.Time.Sub(line.Time) > Before {
+		if line.VM != r.VM || line.Request != "" || line.Time.After(r.Time) || r.Time.Sub(line.Time) > ContextWindow {
 			continue
 		}
 		if line.Endpoint != "" && !slices.ContainsFunc(at, func(a attempt) bool { return a.endpoint == line.Endpoint }) {
--- a/gateway/explain/explain_test.go
+++ b/gateway/explain/explain_test.go
@@ -19,8 +19,8 @@
 not a log line
 `
 
-// On call has an id and the logs of some VMs. What was decided, by what, and what that
-// VM believed shortly before must be there; other VMs, endpoints and times must not.
+// Guards against an explanation without the decision, its configuration and what the VM knew
+// shortly before, and against lines of other VMs, endpoints and times in it.
 func TestExplain(t *testing.T) {
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(sample)))
@@ -51,7 +51,7 @@
 	require.Contains(t, b.String(), "did not reach these VMs")
 }
 
-// A log may be cut anywhere or hold another program's lines.
+// A log may be truncated anywhere or contain another program's lines.
 func FuzzRead(f *testing.F) {
 	f.Add(sample)
 	f.Add(`{"session":"s","versions":" ","message":"request"}` + "\n" + `{"session":"s","versions":"v1 v2","message":"request"}`)
--- a/gateway/explain/moves.go
+++ b/gateway/explain/moves.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Move is a request that ran on another version than the one before in its session.
+// Move is a request that ran on another version than the previous request of its session.
 type Move struct {
 	Before, After Line
 	From, To      string
-	// Gap is the time from the end of the request before to the start of this one;
-	// negative while that one was still under way.
+	// Gap is the time from the end of the previous request to the start of this one; negative if
+	// that one was still under way.
 	Gap time.Duration
 }
 
-// Moves lists the requests of all VMs that were sent within pause of the end of the one
-// before in their session, and ran on another version.
+// Moves returns the requests of all VMs that started less than pause after the end of the
+// previous request in their session and ran on another version.
 func (l *Log) Moves(pause time.Duration) []Move {
 	sessions := make(map[string][]Line)
 	for _, line := range l.Lines {
@@ -32,7 +32,7 @@
 	for _, lines := range sessions {
 		slices.SortFunc(lines, func(a, b Line) int { return a.start().Compare(b.start()) })
 		for i := range lines {
-			out = append(out, moved(lines, i, pause)...)
+			out = append(out, movesAt(lines, i, pause)...)
 		}
 	}
 	slices.SortFunc(out, func(a, b Move) int {
@@ -41,15 +41,17 @@
 	return out
 }
 
-// moved compares a session's i-th request with the one before, and its own runs with each other.
-func moved(lines []Line, i int, pause time.Duration) (out []Move) {
+// movesAt compares a session's i-th request with the previous one, and its own attempts with
+// each other.
+func movesAt(lines []Line, i int, pause time.Duration) (out []Move) {
 	line := lines[i]
 	versions := strings.Fields(line.Versions)
 	if i > 0 {
 		before := lines[i-1]
 		ran := strings.Fields(before.Versions)
 		last, gap := ran[len(ran)-1], line.start().Sub(before.Time)
-		// Of a request that still runs the line doesn't say which version it was at then.
+		// The line of a request that was still under way doesn't say which version it had reached
+		// by then.
 		differs := last != versions[0]
 		if gap < 0 {
 			differs = !slices.Contains(ran, versions[0])
@@ -64,18 +66,18 @@
 	return out
 }
 
-// start is when the request's head was in.
+// start returns when the request's head was received.
 func (r Line) start() time.Time { return r.Time.Add(-time.Duration(r.Took) * time.Millisecond) }
 
-// timeOfDay is a log line's time without its date.
+// timeOfDay is the format of a log line's time without its date.
 const timeOfDay = "15:04:05.000"
 
-// WriteMoves lists moves, a line each, and their number by reason.
+// WriteMoves writes one line for each move, and the number of moves by reason.
 func WriteMoves(w io.Writer, moves []Move) error {
 	count := make(map[string]int)
 	for _, m := range moves {
 		count[m.After.Reason]++
-		if _, err := fmt.Fprintf(w, "%s session %s %s to %s (%s), request %s at %s; before: %s at %s, sent %d ms and ended %d ms earlier; roll-out %d ms old, version told by %q, which knew the session for %d ms\n",
+		if _, err := fmt.Fprintf(w, "%s session %s %s to %s (%s), request %s at %s; before: %s at %s, sent %d ms and ended %d ms earlier; roll-out %d ms old, version from keeper %q, which had kept the session for %d ms\n",
 			m.After.start().Format(timeOfDay), m.After.Session, m.From, m.To, m.After.Reason, m.After.Request, m.After.VM,
 			m.Before.Request, m.Before.VM, m.After.start().Sub(m.Before.start()).Milliseconds(), m.Gap.Milliseconds(),
 			m.After.RollOutAge, m.After.Keeper, m.After.SessionAge); err != nil {
