--- a/gateway/view/feed_test.go
+++ b/gateway/view/feed_test.go
@@ -241,13 +241,13 @@
 		n.mu.Lock()
 		calls := n.calls
 		n.mu.Unlock()
-		require.Zero(t, calls, "not even for the start's listing")
+		require.Zero(t, calls, "no calls, not even a list at the start")
 	}
 }
 
 // Guards against state from another VM that counts as new: its age there, three seconds, and
 // the time of the answer must be added.
-func TestFeedAgeCountsForReaders(t *testing.T) {
+func TestProofFromAnotherVMIsAsOldAsItSays(t *testing.T) {
 	clock := sinceStart()
 	feed := NewFeed(clock, time.Minute)
 	feed.apply(feedUpdate{all: true, revision: 5, confirmedAt: clock() - 3*time.Second, contactAt: clock()})
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -285,7 +285,7 @@
 // Guards against an age that doesn't grow while the platform fails by errors or silence, since
 // keys would be accepted for too long. The age must drop soon after the platform's return, and
 // the calls must be spaced in the outage.
-func TestConfigAgeGrowsInOutage(t *testing.T) {
+func TestOutageAges(t *testing.T) {
 	for name, breakIt := range map[string]func(*fakeSource){
 		"errors": func(s *fakeSource) { s.err = durable.ErrUnavailable },
 		"silent": func(s *fakeSource) { s.silent = true },
