--- /dev/null
+++ b/gateway/node/payload.go
@@ -0,0 +1,42 @@
+package node
+
+import (
+	"strconv"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"goldcrestfork/policy/poison"
+)
+
+// gossipPayload is what a VM adds to each datagram of package gossip.
+type gossipPayload struct {
+	Orders   []rollOutReport           `cbor:"1,keyasint,omitempty"`
+	Suspects map[string][]poison.Count `cbor:"3,keyasint,omitempty"` // by service
+}
+
+// payload encodes this VM's gossipPayload; nil if there is nothing to report.
+func (n *Node) payload() []byte {
+	var w gossipPayload
+	w.Orders = n.rollouts.reports(bootClock())
+	w.Suspects = n.suspects.recentCrashes()
+	if len(w.Orders)+len(w.Suspects) == 0 {
+		return nil
+	}
+	b, err := cbor.Marshal(&w)
+	if err != nil {
+		n.log.Error().Err(err).Msg("payload for other VMs can't be encoded")
+		return nil
+	}
+	return b
+}
+
+// receivePayload applies the payload of another VM.
+func (n *Node) receivePayload(from string, incarnation uint64, payload []byte) {
+	var w gossipPayload
+	if err := cbor.Unmarshal(payload, &w); err != nil {
+		n.log.Warn().Err(err).Str("from", from).Msg("payload of another VM can't be decoded")
+		return
+	}
+	n.rollouts.mergeReports(bootClock(), from+"/"+strconv.FormatUint(incarnation, 36), w.Orders)
+	n.suspects.merge(w.Suspects)
+}
