--- a/fleet/tally/board.go
+++ b/fleet/tally/board.go
@@ -9,111 +9,115 @@
 )
 
 const (
-	// reportLife is how long a VM's report counts. VMs with work under way report at
-	// least each refresh; 2 s is four of them.
-	reportLife = 2 * time.Second
-	// summaryLife is how long another data centre's sums count: ten of its summaries.
-	summaryLife = time.Second
-	// mostEntries bounds the endpoints in one datagram, 11 bytes each: those with the
-	// most work are named, which are those to keep away from.
-	mostEntries = 90
-	// mostAvoided bounds the endpoints that a datagram says are avoided, 5 bytes each.
-	mostAvoided = 60
-	// leastAvoiding is how many VMs of a data centre must keep away from an endpoint for
-	// the others to believe it. One alone may be the one that is cut off; and only those
-	// of the same data centre count, since two data centres that don't reach each other
-	// would otherwise empty both for all.
-	leastAvoiding = 2
-	// mostWork bounds what is believed of one VM's work at an endpoint, in thousands of
-	// prompt tokens: an engine holds less than a million tokens.
-	mostWork = 1e5
+	// reportTTL is how long a VM's report counts. VMs with work under way report at least
+	// every refreshInterval; 2 s is four of these.
+	reportTTL = 2 * time.Second
+	// summaryTTL is how long another data centre's sums count: ten of its summaries.
+	summaryTTL = time.Second
+	// maxEntries bounds the endpoints with work in one datagram, 11 bytes each. Those with the
+	// most work are included, since they are the ones to avoid.
+	maxEntries = 90
+	// maxAvoided bounds the avoided endpoints in one datagram, 5 bytes each.
+	maxAvoided = 60
+	// minAvoidingVMs is how many VMs of a data centre must avoid an endpoint before the others
+	// do. A single VM may itself be the one that is partitioned. Only VMs of the same data
+	// centre count, since two data centres that can't reach each other would otherwise make
+	// all VMs avoid the endpoints of both.
+	minAvoidingVMs = 2
+	// maxWork bounds one VM's work at an endpoint, in thousands of prompt tokens; larger values
+	// are ignored as invalid. An engine holds less than a million tokens.
+	maxWork = 1e5
 )
 
-// Entry is the work under way at one endpoint.
+// Entry is the work under way at one endpoint, in thousands of prompt tokens. Endpoint is the
+// hash that Mark returns.
 type Entry struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32
 	Work     float32
 }
 
-// Mark is the endpoint's short name in entries. Two endpoints with the same mark, one
-// pair in a few million, only look busier than they are.
+// Mark returns the hash that identifies an endpoint in messages. Two endpoints with the same
+// hash, one pair in a few million, only appear busier than they are.
 func Mark(endpoint string) uint32 { return rendezvous.Mark(endpoint).Short() }
 
-// State is what a VM says of the endpoints, or is told of them.
+// State is the load of the endpoints: one VM's in a report, that of all other VMs in an answer.
 type State struct {
-	// Work is what is under way.
+	// Work is the work under way by endpoint.
 	Work []Entry `cbor:"1,keyasint,omitempty"`
-	// Avoided are endpoints that broke connections or refused them a moment ago.
+	// Avoided are the endpoints that recently broke or refused connections.
 	Avoided []uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-// row is what one VM said last.
+// row is the last state that a VM sent, and when it arrived.
 type row struct {
-	life, sequence uint64
-	at             time.Duration
+	incarnation, sequence uint64
+	receivedAt            time.Duration
 	State
 }
 
-// Board is what a keeper was told. It is safe for concurrent use; time is an argument.
+// Board holds the states and outcomes that a keeper received. It is safe for concurrent use;
+// methods take the current time.
 type Board struct {
 	mu        sync.Mutex
 	reports   map[string]*row // by VM of this data centre
 	summaries map[string]*row // by keeper of another data centre
-	// outcomes and farOutcomes are of attempts, by VM and by keeper as above.
-	outcomes, farOutcomes outcomeRows
+	// outcomes are the outcomes of attempts by VM of this data centre, remoteOutcomes the sums
+	// by keeper of another data centre.
+	outcomes, remoteOutcomes outcomeRows
 }
 
 // NewBoard returns an empty board.
 func NewBoard() *Board {
 	return &Board{
 		reports: make(map[string]*row), summaries: make(map[string]*row),
-		outcomes: make(outcomeRows), farOutcomes: make(outcomeRows),
+		outcomes: make(outcomeRows), remoteOutcomes: make(outcomeRows),
 	}
 }
 
-// Report takes a VM's state.
-func (b *Board) Report(now time.Duration, vm string, life, sequence uint64, s State) {
+// RecordReport stores the state of a VM of this data centre, unless a later one is known.
+func (b *Board) RecordReport(now time.Duration, vm string, incarnation, sequence uint64, s State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	put(b.reports, now, vm, life, sequence, s)
+	storeRow(b.reports, now, vm, incarnation, sequence, s)
 }
 
-// Summary takes the sums of another data centre from its keeper.
-func (b *Board) Summary(now time.Duration, keeper string, life, sequence uint64, entries []Entry) {
+// RecordSummary stores another data centre's sums from its keeper, unless later ones are known.
+func (b *Board) RecordSummary(now time.Duration, keeper string, incarnation, sequence uint64, entries []Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	put(b.summaries, now, keeper, life, sequence, State{Work: entries})
+	storeRow(b.summaries, now, keeper, incarnation, sequence, State{Work: entries})
 }
 
-func put(rows map[string]*row, now time.Duration, name string, life, sequence uint64, s State) {
-	if r := rows[name]; r != nil && r.life == life && r.sequence >= sequence {
-		return // overtaken by a newer one
+// storeRow stores a VM's state, unless a later one of the same incarnation is known.
+func storeRow(rows map[string]*row, now time.Duration, name string, incarnation, sequence uint64, s State) {
+	if r := rows[name]; r != nil && r.incarnation == incarnation && r.sequence >= sequence {
+		return // reordered on the network
 	}
-	rows[name] = &row{life: life, sequence: sequence, at: now, State: s}
+	rows[name] = &row{incarnation: incarnation, sequence: sequence, receivedAt: now, State: s}
 }
 
-// Sums adds up this data centre's reports.
-func (b *Board) Sums(now time.Duration) []Entry {
+// LocalSums returns the work of this data centre's VMs by endpoint.
+func (b *Board) LocalSums(now time.Duration) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := make(map[uint32]float32)
-	add(total, b.reports, now, reportLife, "")
+	addWork(total, b.reports, now, reportTTL, "")
 	return largest(total)
 }
 
-// Totals adds up all that is known but what the VM itself said.
+// Totals returns the load of all VMs of all data centres but that of the VM except.
 func (b *Board) Totals(now time.Duration, except string) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	total := make(map[uint32]float32)
-	add(total, b.reports, now, reportLife, except)
-	add(total, b.summaries, now, summaryLife, "")
+	addWork(total, b.reports, now, reportTTL, except)
+	addWork(total, b.summaries, now, summaryTTL, "")
 	return State{Work: largest(total), Avoided: b.avoided(except)}
 }
 
-// avoided are the endpoints that enough other VMs keep away from. Callers hold b.mu and
-// have forgotten old reports.
+// avoided returns the endpoints that at least minAvoidingVMs VMs other than except avoid.
+// Callers hold b.mu and have removed expired reports.
 func (b *Board) avoided(except string) []uint32 {
 	count := make(map[uint32]int)
 	for name, r := range b.reports {
@@ -126,17 +130,17 @@
 	}
 	var out []uint32
 	for m, n := range count {
-		if n >= leastAvoiding && len(out) < mostAvoided {
+		if n >= minAvoidingVMs && len(out) < maxAvoided {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// add sums rows and forgets those that are too old.
-func add(total map[uint32]float32, rows map[string]*row, now, life time.Duration, except string) {
+// addWork adds the work of the rows to total, without the row of except, and removes expired rows.
+func addWork(total map[uint32]float32, rows map[string]*row, now, ttl time.Duration, except string) {
 	for name, r := range rows {
-		if now-r.at > life {
+		if now-r.receivedAt > ttl {
 			delete(rows, name)
 			continue
 		}
@@ -144,19 +148,20 @@
 			continue
 		}
 		for _, e := range r.Work {
-			if e.Work > 0 && e.Work < mostWork { // not so for NaN either
+			if e.Work > 0 && e.Work < maxWork { // false for NaN
 				total[e.Endpoint] += e.Work
 			}
 		}
 	}
 }
 
+// largest returns the entries with the most work, at most maxEntries.
 func largest(total map[uint32]float32) []Entry {
 	out := make([]Entry, 0, len(total))
 	for m, w := range total {
 		out = append(out, Entry{Endpoint: m, Work: w})
 	}
-	if len(out) <= mostEntries {
+	if len(out) <= maxEntries {
 		return out
 	}
 	slices.SortFunc(out, func(a, b Entry) int {
@@ -168,5 +173,5 @@
 		}
 		return 0
 	})
-	return out[:mostEntries]
+	return out[:maxEntries]
 }
--- a/fleet/tally/outcomes.go
+++ b/fleet/tally/outcomes.go
@@ -8,58 +8,62 @@
 )
 
 const (
-	// mostOutcomes bounds the endpoints in one datagram, up to 13 bytes each.
-	mostOutcomes = 90
-	// scale is how weights are told: in hundredths.
-	scale = 100
-	// mostWeight bounds what is believed of one VM's attempts at an endpoint.
-	mostWeight = 1e4 * scale
+	// maxOutcomes bounds the endpoints in one datagram, up to 13 bytes each.
+	maxOutcomes = 90
+	// weightScale is the number of units of an attempt's weight in messages: hundredths.
+	weightScale = 100
+	// maxWeight bounds the weight of one VM's attempts at an endpoint; larger values are ignored
+	// as invalid.
+	maxWeight = 1e4 * weightScale
 )
 
-// Outcomes is what became of the attempts at one endpoint lately, in hundredths of attempts.
+// Outcomes counts the recent attempts at one endpoint, in hundredths of attempts. Endpoint is
+// the hash that Mark returns.
 type Outcomes struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32
-	Failed   uint32
-	Runs     uint32
-	// OtherLife says that another life answered at its address.
+	Failed   uint32 // attempts that failed
+	Runs     uint32 // all attempts that ran
+	// OtherLife reports that another incarnation answered at the endpoint's address.
 	OtherLife bool
 }
 
-// NewOutcomes gives weights as they are told.
+// NewOutcomes returns the outcomes for the weights of the failed attempts and of all that ran.
 func NewOutcomes(endpoint uint32, failed, runs float64, otherLife bool) Outcomes {
-	return Outcomes{Endpoint: endpoint, Failed: uint32(failed * scale), Runs: uint32(runs * scale), OtherLife: otherLife}
+	return Outcomes{Endpoint: endpoint, Failed: uint32(failed * weightScale), Runs: uint32(runs * weightScale), OtherLife: otherLife}
 }
 
-// Weights are the failed attempts and all that ran.
+// Weights returns the weights of the failed attempts and of all that ran.
 func (o Outcomes) Weights() (failed, runs float64) {
-	return float64(o.Failed) / scale, float64(o.Runs) / scale
+	return float64(o.Failed) / weightScale, float64(o.Runs) / weightScale
 }
 
+// outcomesRow is the last list of outcomes that a VM sent, and when it arrived.
 type outcomesRow struct {
-	life, sequence uint64
-	at             time.Duration
-	list           []Outcomes
+	incarnation, sequence uint64
+	receivedAt            time.Duration
+	list                  []Outcomes
 }
 
+// outcomeRows are the last lists by sender.
 type outcomeRows map[string]*outcomesRow
 
-func (rows outcomeRows) put(now time.Duration, from string, life, sequence uint64, list []Outcomes) {
-	if r := rows[from]; r != nil && r.life == life && r.sequence >= sequence {
-		return // overtaken by a newer one
+func (rows outcomeRows) store(now time.Duration, from string, incarnation, sequence uint64, list []Outcomes) {
+	if r := rows[from]; r != nil && r.incarnation == incarnation && r.sequence >= sequence {
+		return // reordered on the network
 	}
-	rows[from] = &outcomesRow{life: life, sequence: sequence, at: now, list: list}
+	rows[from] = &outcomesRow{incarnation: incarnation, sequence: sequence, receivedAt: now, list: list}
 }
 
-// addTo sums the rows and forgets those that are too old.
+// addTo adds the rows to the sums and removes expired rows. It ignores invalid outcomes.
 func (rows outcomeRows) addTo(sums map[uint32]Outcomes, now time.Duration) {
 	for name, r := range rows {
-		if now-r.at > reportLife {
+		if now-r.receivedAt > reportTTL {
 			delete(rows, name)
 			continue
 		}
 		for _, o := range r.list {
-			if o.Failed > o.Runs || o.Runs > mostWeight {
+			if o.Failed > o.Runs || o.Runs > maxWeight {
 				continue
 			}
 			s := sums[o.Endpoint]
@@ -70,63 +74,66 @@
 	}
 }
 
-// TakeOutcomes takes a VM's outcomes; far says that they are the sums of another data centre.
-func (b *Board) TakeOutcomes(now time.Duration, from string, life, sequence uint64, list []Outcomes, far bool) {
+// RecordOutcomes stores a VM's outcomes, unless later ones are known; remote reports that they are
+// the sums of another data centre.
+func (b *Board) RecordOutcomes(now time.Duration, from string, incarnation, sequence uint64, list []Outcomes, remote bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rows := b.outcomes
-	if far {
-		rows = b.farOutcomes
+	if remote {
+		rows = b.remoteOutcomes
 	}
-	rows.put(now, from, life, sequence, list)
+	rows.store(now, from, incarnation, sequence, list)
 }
 
-// OutcomeSums adds up the outcomes of this data centre, or of all, at the endpoints that
-// failed requests or have another life; of the others nothing is told.
+// OutcomeSums returns the sums of the outcomes of this data centre, or of all data centres if
+// all is set. It leaves out endpoints without a failed attempt or another incarnation, and
+// returns at most maxOutcomes, those with the most failures first.
 func (b *Board) OutcomeSums(now time.Duration, all bool) []Outcomes {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sums := make(map[uint32]Outcomes)
 	b.outcomes.addTo(sums, now)
 	if all {
-		b.farOutcomes.addTo(sums, now)
+		b.remoteOutcomes.addTo(sums, now)
 	}
 	maps.DeleteFunc(sums, func(_ uint32, o Outcomes) bool { return o.Failed == 0 && !o.OtherLife })
 	list := slices.SortedFunc(maps.Values(sums), func(a, b Outcomes) int { return cmp.Compare(b.Failed, a.Failed) })
-	return list[:min(len(list), mostOutcomes)]
+	return list[:min(len(list), maxOutcomes)]
 }
 
-// tellOutcomes reports what this VM's attempts told, which its keeper answers with the
-// fleet's; a keeper takes what it added up and tells the other data centres' keepers.
-func (s *Service) tellOutcomes() {
-	k, ok := s.keeper()
+// reportOutcomes sends the outcomes of this VM's attempts to its keeper, which answers with the
+// sums over the fleet. If this VM is the keeper, it applies the sums itself and sends those of
+// its data centre to the other data centres' keepers.
+func (s *Service) reportOutcomes() {
+	k, ok := s.currentKeeper()
 	if !ok {
 		return
 	}
 	now, seq, own := s.cfg.Clock(), s.sequence.Add(1), s.cfg.Outcomes()
 	slices.SortFunc(own, func(a, b Outcomes) int { return cmp.Compare(b.Runs, a.Runs) })
-	own = own[:min(len(own), mostOutcomes)]
+	own = own[:min(len(own), maxOutcomes)]
 	if k.Name != s.cfg.Self {
-		s.send(k, message{Kind: outcomes, Sequence: seq, Outcomes: own})
+		s.send(k, message{Kind: kindOutcomes, Sequence: seq, Outcomes: own})
 		return
 	}
-	s.board.TakeOutcomes(now, s.cfg.Self, s.life, seq, own, false)
+	s.board.RecordOutcomes(now, s.cfg.Self, s.incarnation, seq, own, false)
 	s.cfg.ApplyOutcomes(s.board.OutcomeSums(now, true))
 	sums := s.board.OutcomeSums(now, false)
 	for _, other := range s.cfg.Others() {
-		s.send(other, message{Kind: outcomeSums, Sequence: seq, Outcomes: sums})
+		s.send(other, message{Kind: kindOutcomeSums, Sequence: seq, Outcomes: sums})
 	}
 }
 
-// takeOutcomes takes what other VMs tell of attempts.
-func (s *Service) takeOutcomes(now time.Duration, from string, m *message) {
+// handleOutcomes processes a message about outcomes.
+func (s *Service) handleOutcomes(now time.Duration, from string, m *message) {
 	switch m.Kind {
-	case outcomes:
-		s.board.TakeOutcomes(now, m.From, m.Life, m.Sequence, m.Outcomes, false)
-		s.sendTo(from, message{Kind: fleetOutcomes, Sequence: s.sequence.Add(1), Outcomes: s.board.OutcomeSums(now, true)})
-	case outcomeSums:
-		s.board.TakeOutcomes(now, m.From, m.Life, m.Sequence, m.Outcomes, true)
-	case fleetOutcomes:
+	case kindOutcomes:
+		s.board.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
+		s.sendTo(from, message{Kind: kindFleetOutcomes, Sequence: s.sequence.Add(1), Outcomes: s.board.OutcomeSums(now, true)})
+	case kindOutcomeSums:
+		s.board.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, true)
+	case kindFleetOutcomes:
 		s.cfg.ApplyOutcomes(m.Outcomes)
 	}
 }
--- a/fleet/tally/outcomes_test.go
+++ b/fleet/tally/outcomes_test.go
@@ -11,39 +11,41 @@
 	"goldcrestfork/fleet/datagram"
 )
 
-// Each VM meets an endpoint too seldom to judge it; together they don't.
+// A single VM makes too few attempts at an endpoint to detect failures, so the outcomes of all
+// VMs and data centres must be summed.
 func TestOutcomesOfAllDataCentres(t *testing.T) {
 	b := NewBoard()
 	for vm := range 3 {
-		b.TakeOutcomes(0, fmt.Sprint("vm", vm), 1, 1, []Outcomes{NewOutcomes(1, 1, 2, false), NewOutcomes(2, 0, 1, false)}, false)
+		b.RecordOutcomes(0, fmt.Sprint("vm", vm), 1, 1, []Outcomes{NewOutcomes(1, 1, 2, false), NewOutcomes(2, 0, 1, false)}, false)
 	}
-	b.TakeOutcomes(0, "far", 1, 1, []Outcomes{NewOutcomes(1, 2, 4, false), NewOutcomes(3, 1, 1, false), NewOutcomes(4, 0, 0, true)}, true)
+	b.RecordOutcomes(0, "far", 1, 1, []Outcomes{NewOutcomes(1, 2, 4, false), NewOutcomes(3, 1, 1, false), NewOutcomes(4, 0, 0, true)}, true)
 	require.ElementsMatch(t, []Outcomes{NewOutcomes(1, 5, 10, false), NewOutcomes(3, 1, 1, false), NewOutcomes(4, 0, 0, true)}, b.OutcomeSums(0, true))
 	require.Equal(t, []Outcomes{NewOutcomes(1, 3, 6, false)}, b.OutcomeSums(0, false), "other data centres' sums aren't passed on")
-	b.TakeOutcomes(0, "vm0", 1, 1, []Outcomes{NewOutcomes(5, 9, 9, false)}, false)
-	require.Len(t, b.OutcomeSums(0, true), 3, "overtaken")
-	require.Empty(t, b.OutcomeSums(reportLife+1, true), "silent VMs")
+	b.RecordOutcomes(0, "vm0", 1, 1, []Outcomes{NewOutcomes(5, 9, 9, false)}, false)
+	require.Len(t, b.OutcomeSums(0, true), 3, "reordered outcomes")
+	require.Empty(t, b.OutcomeSums(reportTTL+1, true), "silent VMs")
 }
 
-// Outcomes at 2,000 endpoints must fit one datagram, the worst endpoints among them.
+// With 2,000 endpoints, the outcomes must fit one datagram and contain the endpoints with the
+// most failures.
 func TestOutcomesFitADatagram(t *testing.T) {
 	b := NewBoard()
 	var list []Outcomes
 	for i := range 2000 {
 		list = append(list, NewOutcomes(Mark(fmt.Sprint(i)), float64(100+i)/10, 300, false))
 	}
-	b.TakeOutcomes(0, "vm", 1, 1, list, false)
+	b.RecordOutcomes(0, "vm", 1, 1, list, false)
 	got := b.OutcomeSums(0, true)
-	require.Len(t, got, mostOutcomes)
+	require.Len(t, got, maxOutcomes)
 	require.Equal(t, Mark("1999"), got[0].Endpoint)
 	raw, err := cbor.Marshal(&message{
-		Kind: fleetOutcomes, From: "front-a-long-data-centre-name-12", Life: 1 << 63, Sequence: 1 << 40, Outcomes: got,
+		Kind: kindFleetOutcomes, From: "front-a-long-data-centre-name-12", Incarnation: 1 << 63, Sequence: 1 << 40, Outcomes: got,
 	})
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), datagram.Largest)
 }
 
-// What VMs report reaches all of them, the keeper among them.
+// The outcomes that one VM reports must reach all VMs, the keeper included.
 func TestOutcomesReachVMs(t *testing.T) {
 	vms := open(t, 3)
 	vms[1].outcomes.Store(&[]Outcomes{NewOutcomes(7, 3, 4, false)})
--- a/fleet/tally/service.go
+++ b/fleet/tally/service.go
@@ -15,115 +15,117 @@
 )
 
 const (
-	// askTimeout is how long a request waits for its keeper's answer: some round trips
-	// in a data centre, and nothing beside the two seconds that callers give an engine.
+	// askTimeout is how long a request waits for the keeper's answer: several round trips
+	// within a data centre, and negligible against the two seconds that callers give an engine.
 	askTimeout = 10 * time.Millisecond
-	// shun is how long a keeper that did not answer isn't asked: one in a hundred
-	// datagrams is lost, so that it must be short, and a dead VM is out of the list of
-	// keepers after two seconds.
-	shun = 500 * time.Millisecond
-	// refresh is how often a VM with work under way reports when nothing changes.
-	refresh = 500 * time.Millisecond
-	// between is the time between two summaries to other data centres. At 60 endpoints
-	// and four data centres 100 ms make 16 KB/s over all of them.
-	between = 100 * time.Millisecond
+	// silentBackoff is how long a keeper that didn't answer is skipped. It is short because
+	// one datagram in a hundred is lost, and a dead VM leaves the list of keepers after two
+	// seconds anyway.
+	silentBackoff = 500 * time.Millisecond
+	// refreshInterval is the time between two reports of a VM whose work doesn't change.
+	refreshInterval = 500 * time.Millisecond
+	// summaryInterval is the time between two summaries to other data centres. With 60
+	// endpoints and four data centres, 100 ms amounts to 16 KB/s over all of them.
+	summaryInterval = 100 * time.Millisecond
 )
 
-// Keeper is a VM that may keep the tally of its data centre.
+// Keeper is a VM that can sum the reports of its data centre.
 type Keeper struct {
 	Name    string
-	Address string // ip:port of its tally
+	Address string // ip:port of its Service
 }
 
-// Config sets a service.
+// Config configures a Service.
 type Config struct {
-	// Self is this VM; Address is where its tally listens.
+	// Self is the name of this VM; Address is the ip:port at which the Service listens.
 	Self    string
 	Address string
 	Clock   func() time.Duration
-	// Keepers are the VMs of this data centre that may keep its tally, this one
-	// included, in the order that all VMs agree on as far as they know the same VMs.
+	// Keepers returns the VMs of this data centre that can be its keeper, this one included.
+	// VMs that know the same VMs must return the same order; the first one is the keeper.
 	Keepers func() []Keeper
-	// Others are the first keepers of the other data centres.
+	// Others returns the first keeper of each other data centre.
 	Others func() []Keeper
-	// State is what this VM has under way and keeps away from.
+	// State returns this VM's own work under way and the endpoints that it avoids.
 	State func() State
-	// Apply takes what all others say.
+	// Apply is called with the state of all other VMs.
 	Apply func(State)
-	// Outcomes are what this VM's attempts told of the endpoints lately.
+	// Outcomes returns the outcomes of this VM's recent attempts.
 	Outcomes func() []Outcomes
-	// ApplyOutcomes takes the sums over all VMs; endpoints that aren't named failed nothing.
+	// ApplyOutcomes is called with the sums over all VMs; endpoints that are left out had no
+	// failures.
 	ApplyOutcomes func([]Outcomes)
 	Log           zerolog.Logger
-	// Registerer takes the metrics and Traffic counts the packets; both required.
+	// Registerer registers the metrics and Traffic counts the packets; both are required.
 	Registerer prometheus.Registerer
 	Traffic    *datagram.Traffic
 }
 
-// kind says what a message is.
+// kind is the type of a message.
 type kind uint8
 
 const (
-	report        kind = iota + 1 // a VM's work under way; with Ask set, a question as well
-	totals                        // the answer: the work of all others
-	summary                       // a data centre's sums, for the other keepers
-	outcomes                      // what a VM's attempts told lately; answered by fleetOutcomes
-	outcomeSums                   // a data centre's sums of outcomes, for the other keepers
-	fleetOutcomes                 // the sums over all VMs
+	kindReport        kind = iota + 1 // a VM's state; if RequestID is set, answered by kindTotals
+	kindTotals                        // the state of all other VMs
+	kindSummary                       // the sums of a data centre's work, for the other keepers
+	kindOutcomes                      // outcomes of a VM's recent attempts; answered by kindFleetOutcomes
+	kindOutcomeSums                   // a data centre's sums of outcomes, for the other keepers
+	kindFleetOutcomes                 // the sums of outcomes over all VMs
 )
 
-// message is one datagram.
+// message is the content of a datagram.
 type message struct {
-	Kind     kind   `cbor:"1,keyasint"`
-	From     string `cbor:"2,keyasint"`
-	Life     uint64 `cbor:"3,keyasint"`
-	Sequence uint64 `cbor:"4,keyasint"`
-	Ask      uint64 `cbor:"5,keyasint,omitempty"`
-	State    State  `cbor:"6,keyasint"`
-	// Outcomes is empty in all kinds but those named for it.
+	Kind        kind   `cbor:"1,keyasint"`
+	From        string `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Sequence    uint64 `cbor:"4,keyasint"`
+	RequestID   uint64 `cbor:"5,keyasint,omitempty"`
+	State       State  `cbor:"6,keyasint"`
+	// Outcomes is set only in the three kinds that carry outcomes.
 	Outcomes []Outcomes `cbor:"7,keyasint,omitempty"`
 }
 
-// Service is one VM's part: it asks and reports, and keeps the tally when it is its turn.
+// Service queries and reports to the keeper, and is the keeper itself when this VM comes first.
 type Service struct {
-	cfg      Config
-	socket   *datagram.Socket
-	board    *Board
-	life     uint64
-	sequence atomic.Uint64
-	asks     *prometheus.CounterVec
+	cfg         Config
+	socket      *datagram.Socket
+	board       *Board
+	incarnation uint64
+	sequence    atomic.Uint64
+	asks        *prometheus.CounterVec
 
-	mu      sync.Mutex
-	waiting map[uint64]chan struct{}
-	shunned map[string]time.Duration
-	applied uint64 // the newest question whose answer was applied
+	mu           sync.Mutex
+	waiting      map[uint64]chan struct{}
+	backoffUntil map[string]time.Duration // by keeper
+	lastApplied  uint64                   // highest request ID whose answer was applied
 }
 
-// Listen opens the socket at Address.
+// Listen opens the socket at Address. It returns an error if the address can't be used.
 func Listen(cfg Config) (*Service, error) {
 	socket, err := datagram.Listen(cfg.Address, "load", cfg.Traffic)
 	if err != nil {
 		return nil, err
 	}
 	s := &Service{
-		cfg: cfg, socket: socket, board: NewBoard(), life: rand.Uint64(),
-		waiting: make(map[uint64]chan struct{}), shunned: make(map[string]time.Duration),
+		cfg: cfg, socket: socket, board: NewBoard(), incarnation: rand.Uint64(),
+		waiting: make(map[uint64]chan struct{}), backoffUntil: make(map[string]time.Duration),
 		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "goldcrest_tally_asks_total", Help: "Questions for the load of the fleet before a choice, by what became of them.",
+			Name: "goldcrest_tally_asks_total", Help: "Queries for the load of the fleet before a choice, by result.",
 		}, []string{"result"}),
 	}
 	cfg.Registerer.MustRegister(s.asks)
 	return s, nil
 }
 
-// Run receives, refreshes reports and sends summaries until the context ends.
+// Run receives messages and sends reports and summaries at their intervals until ctx is done,
+// then closes the socket.
 func (s *Service) Run(ctx context.Context) {
 	var receiver sync.WaitGroup
 	receiver.Go(func() {
 		s.socket.Run(ctx, s.receive, func(error) { s.asks.WithLabelValues("failed").Inc() })
 	})
 	defer receiver.Wait()
-	t := time.NewTicker(between)
+	t := time.NewTicker(summaryInterval)
 	defer t.Stop()
 	var last time.Duration
 	for {
@@ -132,32 +134,33 @@
 			return
 		case <-t.C:
 		}
-		s.summarize()
-		if now := s.cfg.Clock(); now-last >= refresh {
+		s.sendSummary()
+		if now := s.cfg.Clock(); now-last >= refreshInterval {
 			last = now
 			s.Changed()
-			s.tellOutcomes()
+			s.reportOutcomes()
 		}
 	}
 }
 
-// keeper is the VM to report to: the first that isn't shunned; ok is false for none.
-func (s *Service) keeper() (Keeper, bool) {
+// currentKeeper returns the VM to report to, the first without a backoff; ok is false for none.
+func (s *Service) currentKeeper() (Keeper, bool) {
 	keepers := s.cfg.Keepers()
 	now := s.cfg.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, k := range keepers {
-		if k.Name == s.cfg.Self || now >= s.shunned[k.Name] {
+		if k.Name == s.cfg.Self || now >= s.backoffUntil[k.Name] {
 			return k, true
 		}
 	}
 	return Keeper{}, false
 }
 
-// Ask learns what all others have under way, as of now, and waits askTimeout at most.
+// Ask queries the keeper for the current load of all other VMs and applies it. It waits for at
+// most askTimeout, and no longer than ctx.
 func (s *Service) Ask(ctx context.Context) {
-	k, ok := s.keeper()
+	k, ok := s.currentKeeper()
 	if !ok {
 		s.asks.WithLabelValues("nobody").Inc()
 		return
@@ -167,17 +170,17 @@
 		s.cfg.Apply(s.board.Totals(s.cfg.Clock(), s.cfg.Self))
 		return
 	}
-	ask := s.sequence.Add(1)
+	id := s.sequence.Add(1)
 	done := make(chan struct{})
 	s.mu.Lock()
-	s.waiting[ask] = done
+	s.waiting[id] = done
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.waiting, ask)
+		delete(s.waiting, id)
 		s.mu.Unlock()
 	}()
-	s.send(k, message{Kind: report, Sequence: ask, Ask: ask, State: s.cfg.State()})
+	s.send(k, message{Kind: kindReport, Sequence: id, RequestID: id, State: s.cfg.State()})
 	t := time.NewTimer(askTimeout)
 	defer t.Stop()
 	select {
@@ -187,51 +190,51 @@
 	case <-t.C:
 		s.asks.WithLabelValues("silent").Inc()
 		s.mu.Lock()
-		s.shunned[k.Name] = s.cfg.Clock() + shun
+		s.backoffUntil[k.Name] = s.cfg.Clock() + silentBackoff
 		s.mu.Unlock()
-		s.cfg.Log.Debug().Str("keeper", k.Name).Msg("keeper of the tally is silent")
+		s.cfg.Log.Debug().Str("keeper", k.Name).Msg("load keeper did not answer in time")
 	}
 }
 
-// Changed reports what this VM has under way.
+// Changed reports this VM's state to the keeper.
 func (s *Service) Changed() {
-	k, ok := s.keeper()
+	k, ok := s.currentKeeper()
 	if !ok {
 		return
 	}
 	seq := s.sequence.Add(1)
 	state := s.cfg.State()
 	if k.Name == s.cfg.Self {
-		s.board.Report(s.cfg.Clock(), s.cfg.Self, s.life, seq, state)
+		s.board.RecordReport(s.cfg.Clock(), s.cfg.Self, s.incarnation, seq, state)
 		return
 	}
-	s.send(k, message{Kind: report, Sequence: seq, State: state})
+	s.send(k, message{Kind: kindReport, Sequence: seq, State: state})
 }
 
-// summarize tells the other data centres' keepers what this one has under way, if this
-// VM keeps its tally.
-func (s *Service) summarize() {
-	k, ok := s.keeper()
+// sendSummary sends the sums of this data centre's work to the other data centres' keepers, if
+// this VM is the keeper.
+func (s *Service) sendSummary() {
+	k, ok := s.currentKeeper()
 	if !ok || k.Name != s.cfg.Self {
 		return
 	}
-	sums := s.board.Sums(s.cfg.Clock())
+	sums := s.board.LocalSums(s.cfg.Clock())
 	seq := s.sequence.Add(1)
 	for _, other := range s.cfg.Others() {
-		s.send(other, message{Kind: summary, Sequence: seq, State: State{Work: sums}})
+		s.send(other, message{Kind: kindSummary, Sequence: seq, State: State{Work: sums}})
 	}
 }
 
 func (s *Service) send(k Keeper, m message) { s.sendTo(k.Address, m) }
 
 func (s *Service) sendTo(address string, m message) {
-	m.From, m.Life = s.cfg.Self, s.life
+	m.From, m.Incarnation = s.cfg.Self, s.incarnation
 	b, err := cbor.Marshal(&m)
 	if err == nil {
 		err = s.socket.Send(b, address)
 	}
 	if err != nil {
-		s.cfg.Log.Warn().Err(err).Str("address", address).Msg("message of the tally can't be sent")
+		s.cfg.Log.Warn().Err(err).Str("address", address).Msg("can't send the load message")
 	}
 }
 
@@ -241,38 +244,39 @@
 		s.asks.WithLabelValues("unreadable").Inc()
 		return
 	}
-	s.take(from, &m)
+	s.handle(from, &m)
 }
 
-func (s *Service) take(from string, m *message) {
+func (s *Service) handle(from string, m *message) {
 	now := s.cfg.Clock()
 	switch m.Kind {
-	case report:
-		s.board.Report(now, m.From, m.Life, m.Sequence, m.State)
-		if m.Ask != 0 {
-			s.sendTo(from, message{Kind: totals, Ask: m.Ask, State: s.board.Totals(now, m.From)})
+	case kindReport:
+		s.board.RecordReport(now, m.From, m.Incarnation, m.Sequence, m.State)
+		if m.RequestID != 0 {
+			s.sendTo(from, message{Kind: kindTotals, RequestID: m.RequestID, State: s.board.Totals(now, m.From)})
 		}
-	case totals:
-		s.answer(m)
-	case summary:
-		s.board.Summary(now, m.From, m.Life, m.Sequence, m.State.Work)
-	case outcomes, outcomeSums, fleetOutcomes:
-		s.takeOutcomes(now, from, m)
+	case kindTotals:
+		s.handleTotals(m)
+	case kindSummary:
+		s.board.RecordSummary(now, m.From, m.Incarnation, m.Sequence, m.State.Work)
+	case kindOutcomes, kindOutcomeSums, kindFleetOutcomes:
+		s.handleOutcomes(now, from, m)
 	}
 }
 
-// answer applies an answer unless a later question's came first, and wakes its asker.
-func (s *Service) answer(m *message) {
+// handleTotals applies the answer to a query and wakes the waiting Ask. It doesn't apply the state
+// if the answer to a later query was applied already.
+func (s *Service) handleTotals(m *message) {
 	s.mu.Lock()
-	done := s.waiting[m.Ask]
-	delete(s.waiting, m.Ask)
-	newer := done != nil && m.Ask > s.applied
+	done := s.waiting[m.RequestID]
+	delete(s.waiting, m.RequestID)
+	newer := done != nil && m.RequestID > s.lastApplied
 	if newer {
-		s.applied = m.Ask
+		s.lastApplied = m.RequestID
 	}
 	s.mu.Unlock()
 	if done == nil {
-		return // late, or not for this process
+		return // late, or of another incarnation of this VM
 	}
 	if newer {
 		s.cfg.Apply(m.State)
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -28,37 +28,36 @@
 	return out
 }
 
-// A VM asks what the others have under way. Its own word must not come back to it, an
-// overtaken report must not undo a later one, and a VM that fell silent must not count
-// for ever: its engines would look busy and stay empty.
+// The totals for a VM must leave out its own report. A reordered report must not replace a later
+// one, and a silent VM's report must expire, or its engines would look busy and stay unused.
 func TestBoard(t *testing.T) {
 	b := NewBoard()
-	b.Report(0, "a", 1, 5, State{Work: []Entry{{Endpoint: 1, Work: 2}}})
-	b.Report(0, "b", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 3}, {Endpoint: 2, Work: 1}}})
-	b.Summary(0, "far", 1, 1, []Entry{{Endpoint: 2, Work: 4}})
+	b.RecordReport(0, "a", 1, 5, State{Work: []Entry{{Endpoint: 1, Work: 2}}})
+	b.RecordReport(0, "b", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 3}, {Endpoint: 2, Work: 1}}})
+	b.RecordSummary(0, "far", 1, 1, []Entry{{Endpoint: 2, Work: 4}})
 	require.Equal(t, map[uint32]float32{1: 3, 2: 5}, sumOf(b.Totals(0, "a").Work))
-	require.Equal(t, map[uint32]float32{1: 5, 2: 1}, sumOf(b.Sums(0)), "other data centres' sums aren't passed on")
-	b.Report(0, "a", 1, 4, State{})
-	require.Equal(t, map[uint32]float32{1: 5, 2: 1}, sumOf(b.Sums(0)), "overtaken")
-	b.Report(0, "a", 2, 1, State{})
-	require.Equal(t, map[uint32]float32{1: 3, 2: 1}, sumOf(b.Sums(0)), "a new life of the VM")
-	require.Equal(t, map[uint32]float32{1: 3, 2: 1}, sumOf(b.Totals(summaryLife+1, "a").Work), "silent data centre")
-	require.Empty(t, b.Totals(reportLife+1, "a").Work)
+	require.Equal(t, map[uint32]float32{1: 5, 2: 1}, sumOf(b.LocalSums(0)), "other data centres' sums aren't passed on")
+	b.RecordReport(0, "a", 1, 4, State{})
+	require.Equal(t, map[uint32]float32{1: 5, 2: 1}, sumOf(b.LocalSums(0)), "reordered report")
+	b.RecordReport(0, "a", 2, 1, State{})
+	require.Equal(t, map[uint32]float32{1: 3, 2: 1}, sumOf(b.LocalSums(0)), "new incarnation of the VM")
+	require.Equal(t, map[uint32]float32{1: 3, 2: 1}, sumOf(b.Totals(summaryTTL+1, "a").Work), "silent data centre")
+	require.Empty(t, b.Totals(reportTTL+1, "a").Work)
 }
 
-// One VM is cut off from an endpoint and keeps away from it; the others must not, since
-// it serves them well. When a second one finds it dead, it is.
+// A VM that is partitioned from an endpoint avoids it. The other VMs, which the endpoint serves
+// well, must not avoid it until a second VM does.
 func TestOneVMAloneEmptiesNoEndpoint(t *testing.T) {
 	b := NewBoard()
-	b.Report(0, "a", 1, 1, State{Avoided: []uint32{7}})
+	b.RecordReport(0, "a", 1, 1, State{Avoided: []uint32{7}})
 	require.Empty(t, b.Totals(0, "c").Avoided)
-	b.Report(0, "b", 1, 1, State{Avoided: []uint32{7, 8}})
+	b.RecordReport(0, "b", 1, 1, State{Avoided: []uint32{7, 8}})
 	require.Equal(t, []uint32{7}, b.Totals(0, "c").Avoided)
-	require.Empty(t, b.Totals(0, "b").Avoided, "its own word doesn't count for it")
+	require.Empty(t, b.Totals(0, "b").Avoided, "its own report doesn't count")
 }
 
-// With 2,000 endpoints the answer must still fit one datagram, and name those to keep
-// away from.
+// With 2,000 endpoints, the answer must fit one datagram and contain the endpoints with the most
+// work.
 func TestAnswerFitsADatagram(t *testing.T) {
 	b := NewBoard()
 	for vm := range 20 {
@@ -67,35 +66,36 @@
 			s.Work = append(s.Work, Entry{Endpoint: Mark(fmt.Sprint(vm, i)), Work: float32(i)})
 			s.Avoided = append(s.Avoided, Mark(fmt.Sprint(i)))
 		}
-		b.Report(0, fmt.Sprint("vm", vm), 1, 1, s)
+		b.RecordReport(0, fmt.Sprint("vm", vm), 1, 1, s)
 	}
 	totals := b.Totals(0, "")
-	require.Len(t, totals.Work, mostEntries)
-	require.Len(t, totals.Avoided, mostAvoided)
+	require.Len(t, totals.Work, maxEntries)
+	require.Len(t, totals.Avoided, maxAvoided)
 	for _, e := range totals.Work {
 		require.Greater(t, e.Work, float32(90))
 	}
-	raw, err := cbor.Marshal(&message{Kind: 2, From: "front-a-long-data-centre-name-12", Life: 1 << 63, Sequence: 1 << 40, Ask: 1 << 40, State: totals})
+	raw, err := cbor.Marshal(&message{Kind: 2, From: "front-a-long-data-centre-name-12", Incarnation: 1 << 63, Sequence: 1 << 40, RequestID: 1 << 40, State: totals})
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), datagram.Largest)
 }
 
-// vm is one VM's service over loopback.
+// vm is a VM's service over loopback, with the state that it reports and the last values that
+// it applied.
 type vm struct {
 	*Service
-	state, told State
-	outcomes    atomic.Pointer[[]Outcomes]
-	fleet       atomic.Pointer[[]Outcomes]
+	state, applied State
+	outcomes       atomic.Pointer[[]Outcomes] // reported by this VM
+	fleet          atomic.Pointer[[]Outcomes] // applied
 }
 
-func (v *vm) tellOutcomes() []Outcomes {
+func (v *vm) ownOutcomes() []Outcomes {
 	if list := v.outcomes.Load(); list != nil {
 		return *list
 	}
 	return nil
 }
 
-// open starts n VMs of one data centre that rank in order.
+// open starts n VMs of one data centre; the first is its keeper.
 func open(t *testing.T, n int) []*vm {
 	began := time.Now()
 	vms := make([]*vm, n)
@@ -106,8 +106,8 @@
 			Self: fmt.Sprint("vm", i), Address: "127.0.0.1:0",
 			Clock:   func() time.Duration { return time.Minute + time.Since(began) },
 			Keepers: func() []Keeper { return keepers }, Others: func() []Keeper { return nil },
-			State: func() State { return v.state }, Apply: func(s State) { v.told = s },
-			Outcomes: v.tellOutcomes, ApplyOutcomes: func(o []Outcomes) { v.fleet.Store(&o) },
+			State: func() State { return v.state }, Apply: func(s State) { v.applied = s },
+			Outcomes: v.ownOutcomes, ApplyOutcomes: func(o []Outcomes) { v.fleet.Store(&o) },
 			Log: zerolog.Nop(), Registerer: prometheus.NewRegistry(), Traffic: datagram.NewTraffic(prometheus.NewRegistry()),
 		})
 		require.NoError(t, err)
@@ -128,23 +128,23 @@
 	return vms
 }
 
-// What one VM reports, another is told when it asks; the keeper asks itself.
+// A VM that asks must receive what another VM reported, also when it is the keeper itself.
 func TestAskTellsOfOthers(t *testing.T) {
 	vms := open(t, 3)
 	vms[1].state = State{Work: []Entry{{Endpoint: 7, Work: 2}}}
 	vms[1].Changed()
 	require.Eventually(t, func() bool {
 		vms[2].Ask(t.Context())
-		return sumOf(vms[2].told.Work)[7] == 2
+		return sumOf(vms[2].applied.Work)[7] == 2
 	}, 10*time.Second, time.Millisecond)
 	vms[0].Ask(t.Context())
-	require.Equal(t, map[uint32]float32{7: 2}, sumOf(vms[0].told.Work))
+	require.Equal(t, map[uint32]float32{7: 2}, sumOf(vms[0].applied.Work))
 	vms[1].Ask(t.Context())
-	require.Empty(t, vms[1].told.Work, "its own work isn't the others'")
+	require.Empty(t, vms[1].applied.Work, "its own work is left out")
 }
 
-// The keeper lost power: nobody answers at its address. Callers must not wait for it on
-// each request: the first question finds it silent, the next one goes to another VM.
+// The keeper lost power and doesn't answer. Only the first query may wait for its timeout; the
+// next one must go to another VM.
 func TestSilentKeeperIsPassedOver(t *testing.T) {
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -161,7 +161,7 @@
 	require.Positive(t, testutil.ToFloat64(vms[1].asks.WithLabelValues("silent")))
 }
 
-// Nobody keeps a tally, as in a fleet that starts: a request must not wait.
+// While a fleet starts, no keeper is known. A request must not wait then.
 func TestNobodyToAsk(t *testing.T) {
 	vms := open(t, 1)
 	vms[0].cfg.Keepers = func() []Keeper { return nil }
@@ -170,23 +170,23 @@
 	require.Equal(t, 1.0, testutil.ToFloat64(vms[0].asks.WithLabelValues("nobody")))
 }
 
-// Anyone may send to the port: nothing that can't be read changes the board.
+// Any host can send to the port: whatever decodes must leave only valid entries in the sums.
 func FuzzMessage(f *testing.F) {
-	b, err := cbor.Marshal(&message{Kind: report, From: "a", Life: 1, Sequence: 1, State: State{Work: []Entry{{Endpoint: 1, Work: 1}}, Avoided: []uint32{2}}})
+	b, err := cbor.Marshal(&message{Kind: kindReport, From: "a", Incarnation: 1, Sequence: 1, State: State{Work: []Entry{{Endpoint: 1, Work: 1}}, Avoided: []uint32{2}}})
 	require.NoError(f, err)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m message
 		if cbor.Unmarshal(b, &m) == nil {
 			board := NewBoard()
-			board.Report(0, m.From, m.Life, m.Sequence, m.State)
-			board.TakeOutcomes(0, m.From, m.Life, m.Sequence, m.Outcomes, false)
+			board.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
+			board.RecordOutcomes(0, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
 			for _, o := range board.OutcomeSums(0, true) {
 				require.LessOrEqual(t, o.Failed, o.Runs)
 			}
-			board.Report(0, "own", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 1}}})
+			board.RecordReport(0, "own", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 1}}})
 			totals := board.Totals(0, "").Work
-			require.LessOrEqual(t, len(totals), mostEntries)
+			require.LessOrEqual(t, len(totals), maxEntries)
 			for _, e := range totals {
 				require.Greater(t, e.Work, float32(0))
 			}
@@ -194,9 +194,9 @@
 	})
 }
 
-// BenchmarkKeeper measures a question and its answer at the keeper of a data centre of
-// 21 VMs with eight prompts under way each before 105 endpoints, decoding and encoding
-// included, the network not.
+// BenchmarkKeeper measures a query and its answer at the keeper of a data centre of 21 VMs, each
+// with eight prompts under way, and 105 endpoints. It includes decoding and encoding, but not
+// the network.
 func BenchmarkKeeper(b *testing.B) {
 	board := NewBoard()
 	state := func(vm int) (s State) {
@@ -206,17 +206,17 @@
 		return s
 	}
 	for vm := range 21 {
-		board.Report(0, fmt.Sprint("vm", vm), 1, 1, state(vm))
+		board.RecordReport(0, fmt.Sprint("vm", vm), 1, 1, state(vm))
 	}
-	ask, err := cbor.Marshal(&message{Kind: report, From: "front-norte-a-12", Life: 1 << 63, Sequence: 1 << 20, Ask: 1 << 20, State: state(3)})
+	ask, err := cbor.Marshal(&message{Kind: kindReport, From: "front-norte-a-12", Incarnation: 1 << 63, Sequence: 1 << 20, RequestID: 1 << 20, State: state(3)})
 	require.NoError(b, err)
 	var answer []byte
 	b.ReportAllocs()
 	for b.Loop() {
 		var m message
 		require.NoError(b, cbor.Unmarshal(ask, &m))
-		board.Report(0, m.From, m.Life, m.Sequence, m.State)
-		answer, err = cbor.Marshal(&message{Kind: totals, From: "front-norte-a-1", Life: 1 << 63, Ask: m.Ask, State: board.Totals(0, m.From)})
+		board.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
+		answer, err = cbor.Marshal(&message{Kind: kindTotals, From: "front-norte-a-1", Incarnation: 1 << 63, RequestID: m.RequestID, State: board.Totals(0, m.From)})
 		require.NoError(b, err)
 	}
 	b.ReportMetric(float64(len(ask)), "ask-B")
