--- a/fleet/datagram/datagram.go
+++ b/fleet/datagram/datagram.go
@@ -11,18 +11,19 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Largest is the most bytes in a packet: it fits one frame on each of the links between VMs.
-const Largest = 1400
+// MaxPacketSize is the size limit of a packet in bytes. A packet of this size fits one frame on
+// every link between VMs.
+const MaxPacketSize = 1400
 
 // Traffic counts the packets of a VM's sockets.
 type Traffic struct{ bytes, packets *prometheus.CounterVec }
 
-// NewTraffic registers the counters.
+// NewTraffic returns counters that are registered with r.
 func NewTraffic(r prometheus.Registerer) *Traffic {
 	labels := []string{"purpose", "direction"}
 	t := &Traffic{
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "goldcrest_datagram_bytes_total", Help: "Bytes in packets between VMs without their heads, by purpose and direction.",
+			Name: "goldcrest_datagram_bytes_total", Help: "Bytes in packets between VMs without UDP and IP headers, by purpose and direction.",
 		}, labels),
 		packets: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_datagram_packets_total", Help: "Packets between VMs, by purpose and direction.",
@@ -37,7 +38,7 @@
 	t.packets.WithLabelValues(purpose, direction).Inc()
 }
 
-// Socket is one VM's end.
+// Socket sends and receives the packets of one VM at one UDP address.
 type Socket struct {
 	conn     *net.UDPConn
 	purpose  string
@@ -45,28 +46,30 @@
 	channels map[byte]Channel
 }
 
-// Channel is a use of a socket beside its main one; its packets begin with a tag.
+// Channel is a second purpose for which a socket is used. Its packets begin with a tag byte.
 type Channel struct {
 	socket  *Socket
 	tag     byte
 	purpose string
-	take    func(b []byte, from string)
+	handle  func(b []byte, from string)
 }
 
-// Channel opens a use of the socket before Run. No packet of the main use may begin with
-// the tag: CBOR maps begin with 0xa0 to 0xbf. take must not keep b.
-func (s *Socket) Channel(tag byte, purpose string, take func(b []byte, from string)) Channel {
-	c := Channel{socket: s, tag: tag, purpose: purpose, take: take}
+// Channel opens a channel of the socket. It must be called before Run. No packet of the main
+// purpose may begin with the tag: CBOR maps begin with 0xa0 to 0xbf. handle is called for each
+// packet with the sender's address and must not keep b.
+func (s *Socket) Channel(tag byte, purpose string, handle func(b []byte, from string)) Channel {
+	c := Channel{socket: s, tag: tag, purpose: purpose, handle: handle}
 	s.channels[tag] = c
 	return c
 }
 
-// Send sends a packet of the channel as Socket.Send does.
+// Send sends a packet of the channel; see Socket.Send.
 func (c Channel) Send(b []byte, to string) error {
 	return c.socket.send(c.purpose, append([]byte{c.tag}, b...), to)
 }
 
-// Listen opens a socket for a purpose at an IP number and port; port 0 takes a free one.
+// Listen opens a socket at an "ip:port" address; port 0 selects a free port. The purpose labels
+// the metrics of the main purpose.
 func Listen(address, purpose string, traffic *Traffic) (*Socket, error) {
 	addr, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -79,11 +82,11 @@
 	return &Socket{conn: conn, purpose: purpose, traffic: traffic, channels: make(map[byte]Channel)}, nil
 }
 
-// Addr is the address in use, "ip:port".
+// Addr returns the address of the socket, "ip:port".
 func (s *Socket) Addr() string { return s.conn.LocalAddr().String() }
 
-// Send sends a packet, without word of its arrival. The error is of an address that
-// can't be read: a packet that the system doesn't take is as one that is lost on the way.
+// Send sends a packet to an "ip:port" address. It returns an error only for an address that can't
+// be parsed: a packet that the operating system rejects counts as lost on the network.
 func (s *Socket) Send(b []byte, to string) error { return s.send(s.purpose, b, to) }
 
 func (s *Socket) send(purpose string, b []byte, to string) error {
@@ -96,9 +99,10 @@
 	return nil
 }
 
-// Run receives until the context ends, then closes the socket. take must not keep b;
-// failed is told of errors, such as a refusal by a host that a packet was sent to.
-func (s *Socket) Run(ctx context.Context, take func(b []byte, from string), failed func(error)) {
+// Run receives packets until ctx is done, then closes the socket. handle is called for each packet
+// of the main purpose with the sender's address and must not keep b. onError is called with
+// receive errors, such as a refusal by a host to which a packet was sent.
+func (s *Socket) Run(ctx context.Context, handle func(b []byte, from string), onError func(error)) {
 	var closing sync.WaitGroup
 	closing.Add(1)
 	stop := context.AfterFunc(ctx, func() {
@@ -110,30 +114,30 @@
 			closing.Wait()
 		}
 	}()
-	buf := make([]byte, Largest)
+	buf := make([]byte, MaxPacketSize)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			failed(err)
+			onError(err)
 		default:
 			address := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
-			s.receive(buf[:n], address, take)
+			s.receive(buf[:n], address, handle)
 		}
 	}
 }
 
-// receive gives a packet to the use that it is for.
-func (s *Socket) receive(b []byte, from string, take func(b []byte, from string)) {
+// receive passes a packet to the handler of its channel or of the main purpose.
+func (s *Socket) receive(b []byte, from string, handle func(b []byte, from string)) {
 	if len(b) > 0 {
 		if c, ok := s.channels[b[0]]; ok {
 			s.traffic.count(c.purpose, "received", len(b))
-			c.take(b[1:], from)
+			c.handle(b[1:], from)
 			return
 		}
 	}
 	s.traffic.count(s.purpose, "received", len(b))
-	take(b, from)
+	handle(b, from)
 }
--- a/fleet/datagram/datagram_test.go
+++ b/fleet/datagram/datagram_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A packet arrives with the address to answer to, and the end of the context ends both
-// sides without a goroutine left.
+// A packet must arrive with the address for an answer, and the end of the context must end both
+// sides without a leaked goroutine.
 func TestThereAndBack(t *testing.T) {
 	traffic := NewTraffic(prometheus.NewRegistry())
 	a, err := Listen("127.0.0.1:0", "a", traffic)
@@ -24,9 +24,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
 	got := make(chan string, 1)
-	failed := func(err error) { t.Error(err) }
+	onError := func(err error) { t.Error(err) }
 	go func() {
-		a.Run(ctx, func(p []byte, _ string) { got <- string(p) }, failed)
+		a.Run(ctx, func(p []byte, _ string) { got <- string(p) }, onError)
 		done <- struct{}{}
 	}()
 	go func() {
@@ -34,7 +34,7 @@
 			if err := b.Send(append([]byte("re: "), p...), from); err != nil {
 				t.Error(err)
 			}
-		}, failed)
+		}, onError)
 		done <- struct{}{}
 	}()
 	require.NoError(t, a.Send([]byte("x"), b.Addr()))
@@ -45,7 +45,7 @@
 	<-done
 }
 
-// Guards against packets of one use of a socket that reach another's.
+// Guards against packets that reach the handler of another channel of the socket.
 func TestChannelsShareASocket(t *testing.T) {
 	traffic := NewTraffic(prometheus.NewRegistry())
 	a, err := Listen("127.0.0.1:0", "main", traffic)
--- a/fleet/gossip/service.go
+++ b/fleet/gossip/service.go
@@ -110,7 +110,7 @@
 		Payload: payload, Others: others, Words: reports,
 	}
 	b, err := cbor.Marshal(&m)
-	if err != nil || len(b) > datagram.Largest {
+	if err != nil || len(b) > datagram.MaxPacketSize {
 		// The datagram must be sent even if the payload is too large, or the other VMs would
 		// take this one for dead.
 		s.cfg.Log.Warn().Err(err).Int("bytes", len(b)).Msg("datagram without its payload")
--- a/fleet/tally/outcomes_test.go
+++ b/fleet/tally/outcomes_test.go
@@ -42,7 +42,7 @@
 		Kind: kindFleetOutcomes, From: "front-a-long-data-centre-name-12", Incarnation: 1 << 63, Sequence: 1 << 40, Outcomes: got,
 	})
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(raw), datagram.Largest)
+	require.LessOrEqual(t, len(raw), datagram.MaxPacketSize)
 }
 
 // The outcomes that one VM reports must reach all VMs, the keeper included.
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -76,7 +76,7 @@
 	}
 	raw, err := cbor.Marshal(&message{Kind: 2, From: "front-a-long-data-centre-name-12", Incarnation: 1 << 63, Sequence: 1 << 40, RequestID: 1 << 40, State: totals})
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(raw), datagram.Largest)
+	require.LessOrEqual(t, len(raw), datagram.MaxPacketSize)
 }
 
 // vm is a VM's service over loopback, with the state that it reports and the last values that
