--- a/fleet/sticky/board.go
+++ b/fleet/sticky/board.go
@@ -5,69 +5,72 @@
 	"time"
 )
 
-// mostKeys bounds a keeper's memory, about 150 bytes each. Beyond it keys are decided by
-// each VM alone.
-const mostKeys = 1 << 16
+// maxKeys bounds the keys of a keeper, about 150 bytes each. Beyond it each VM decides on further
+// keys by itself.
+const maxKeys = 1 << 16
 
-// Value is what a key stands at; None for nothing known.
+// Value is the value of a key; its meaning is the caller's.
 type Value uint8
 
-// None is the value of a key that nobody decided.
+// None is the value of a key without a decision.
 const None Value = 0
 
 // Hold is one request's hold on a key.
 type Hold struct {
 	Key Key
-	// Holder tells this request from others.
+	// Holder identifies the request.
 	Holder uint64
-	// Longest is how long the request may last; the key is kept as long without a Release.
+	// Longest is the longest time that the request may last. Without a Release the hold ends
+	// after it.
 	Longest time.Duration
-	// Proposal is the value that the key takes where it has none.
+	// Proposal is the value that the key takes if it has none, or the one to Set.
 	Proposal Value
-	// Rank orders decisions that were Set: an earlier one has a lower rank. Questions
-	// don't use it.
+	// Rank orders decisions that are made by Set: a later decision has a higher rank. Hold
+	// ignores it.
 	Rank uint8
 }
 
-// Release ends a hold.
+// Release is the end of a hold.
 type Release struct {
 	Key    Key
 	Holder uint64
-	// Value is the key's where it has none; None for a request that never ran, after which
-	// the key isn't kept.
+	// Value is the value that the key takes if it has none. None means that the request never
+	// ran, and then it doesn't extend the key's retention.
 	Value Value
 	// Rest is how long the key is kept after the request.
 	Rest time.Duration
 }
 
-// Copy is what a keeper knows of a key.
-type Copy struct {
+// Replica is the state of a key as one VM sends it to a keeper.
+type Replica struct {
 	Key   Key
 	Value Value
 	Rank  uint8
-	// Age is how long the key is known, Rest how long it is kept at the longest.
-	Age, Rest time.Duration
+	// Age is how long the key has been known, Retention the longest time that it is still kept.
+	Age, Retention time.Duration
 }
 
-// Held is what a keeper answers.
+// Held is a keeper's answer to a Hold.
 type Held struct {
 	Value Value
-	// Rank is that of the decision on the value.
+	// Rank is the rank of the decision on the value, 0 if it was a proposal.
 	Rank uint8
-	// Age is how long the keeper has known the key; 0 where it took the proposal.
+	// Age is how long the keeper has known the key; 0 if it stored the proposal.
 	Age time.Duration
-	// Keeper is the VM that answered.
+	// Keeper is the name of the VM that answered.
 	Keeper string
 }
 
+// entry is the state of a key at a keeper; its times are those of the Board's clock.
 type entry struct {
 	value Value
 	rank  uint8
-	since time.Duration
-	until time.Duration
-	holds map[uint64]time.Duration // when each ends at the latest, by holder
+	since time.Duration            // when the key became known
+	until time.Duration            // end of the retention after released holds
+	holds map[uint64]time.Duration // latest end of each hold, by holder
 }
 
+// live reports whether the key is still held or retained. It removes holds that are over.
 func (e *entry) live(now time.Duration) bool {
 	if now < e.until {
 		return true
@@ -81,7 +84,7 @@
 	return false
 }
 
-// end is when the entry ends at the latest.
+// end returns the latest time at which the entry expires.
 func (e *entry) end() time.Duration {
 	end := e.until
 	for _, until := range e.holds {
@@ -90,21 +93,21 @@
 	return end
 }
 
-// Board is one keeper's memory. It is safe for concurrent use; time is an argument, on a
-// clock that runs while the VM is suspended.
+// Board stores the keys of one keeper. It is safe for concurrent use. Methods take the current
+// time of a clock that continues while the VM is suspended.
 type Board struct {
 	mu      sync.Mutex
 	entries map[Key]*entry
 }
 
-// NewBoard returns an empty memory.
+// NewBoard returns an empty board.
 func NewBoard() *Board { return &Board{entries: make(map[Key]*entry)} }
 
-// Hold holds the key and returns its value; one without a value takes the proposal.
+// Hold holds the key and returns its value; a key without a value takes the proposal.
 func (b *Board) Hold(now time.Duration, h Hold) Held {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, known := b.at(now, h.Key)
+	e, known := b.lookup(now, h.Key)
 	if e == nil {
 		return Held{Value: h.Proposal}
 	}
@@ -116,11 +119,11 @@
 	return Held{Value: e.value, Rank: e.rank, Age: max(now-e.since, 1)}
 }
 
-// Set holds the key and makes the proposal its value, unless that was decided with a higher rank.
+// Set holds the key and makes the proposal its value, unless a decision of a higher rank is known.
 func (b *Board) Set(now time.Duration, h Hold) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, _ := b.at(now, h.Key)
+	e, _ := b.lookup(now, h.Key)
 	if e == nil {
 		return
 	}
@@ -130,12 +133,12 @@
 	}
 }
 
-// Copy takes what another keeper knows of a key, unless this one has a later decision, or
-// knows the key for longer.
-func (b *Board) Copy(now time.Duration, c Copy) {
+// Merge applies the state of a key that another VM sent. The board keeps its own value if that has
+// a higher rank, or the same rank and the board has known the key for longer.
+func (b *Board) Merge(now time.Duration, c Replica) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, known := b.at(now, c.Key)
+	e, known := b.lookup(now, c.Key)
 	if e == nil {
 		return
 	}
@@ -143,14 +146,15 @@
 	if !known || c.Rank > e.rank || c.Rank == e.rank && since < e.since {
 		e.value, e.rank, e.since = c.Value, c.Rank, since
 	}
-	e.until = max(e.until, now+c.Rest)
+	e.until = max(e.until, now+c.Retention)
 }
 
-// Release ends a hold and keeps the key for its rest.
+// Release ends a hold and keeps the key for r.Rest, or removes a key that isn't live if the
+// request never ran.
 func (b *Board) Release(now time.Duration, r Release) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, known := b.at(now, r.Key)
+	e, known := b.lookup(now, r.Key)
 	if e == nil {
 		return
 	}
@@ -166,14 +170,14 @@
 	}
 }
 
-// at returns the key's entry, a new one where it has none; nil where there is no room.
-// Callers hold b.mu.
-func (b *Board) at(now time.Duration, k Key) (e *entry, known bool) {
+// lookup returns the key's entry and whether it was known. It adds an entry for an unknown key, or
+// returns nil if the board is full. Callers hold b.mu.
+func (b *Board) lookup(now time.Duration, k Key) (e *entry, known bool) {
 	e = b.entries[k]
 	if e != nil && e.live(now) {
 		return e, true
 	}
-	if e == nil && len(b.entries) >= mostKeys {
+	if e == nil && len(b.entries) >= maxKeys {
 		return nil, false
 	}
 	e = &entry{since: now, holds: make(map[uint64]time.Duration)}
@@ -181,7 +185,7 @@
 	return e, false
 }
 
-// Sweep forgets keys that are over, and returns how many are left.
+// Sweep removes expired keys and returns how many are left.
 func (b *Board) Sweep(now time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -193,14 +197,14 @@
 	return len(b.entries)
 }
 
-// All returns what is known of all keys.
-func (b *Board) All(now time.Duration) []Copy {
+// Replicas returns the state of all live keys.
+func (b *Board) Replicas(now time.Duration) []Replica {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Copy
+	var out []Replica
 	for k, e := range b.entries {
 		if e.live(now) {
-			out = append(out, Copy{Key: k, Value: e.value, Rank: e.rank, Age: max(now-e.since, 1), Rest: e.end() - now})
+			out = append(out, Replica{Key: k, Value: e.value, Rank: e.rank, Age: max(now-e.since, 1), Retention: e.end() - now})
 		}
 	}
 	return out
--- a/fleet/sticky/service.go
+++ b/fleet/sticky/service.go
@@ -14,85 +14,87 @@
 )
 
 const (
-	// askTimeout is how long keepers have to answer before they are asked once more: some
-	// round trips between data centres of a region.
+	// askTimeout is how long an attempt waits for the keepers' answers: several round trips
+	// between the data centres of a region.
 	askTimeout = 20 * time.Millisecond
-	// tries is how often keepers are asked; one datagram in a hundred is lost.
-	tries = 2
+	// maxAttempts bounds how often a keeper is asked; one datagram in a hundred is lost.
+	maxAttempts = 2
 )
 
-// Config sets a service.
+// Config configures a Service.
 type Config struct {
 	// Self is this VM's name in rings.
-	Self  string
+	Self string
+	// Clock returns the time of a clock that continues while the VM is suspended.
 	Clock func() time.Duration
-	// Ring returns the VMs that keep keys now.
+	// Ring returns the ring of the VMs that are keepers now.
 	Ring func() *Ring
-	// Send sends a packet without word of its arrival.
+	// Send sends a packet to a keeper's address. The packet may be lost without an error.
 	Send func(b []byte, to string) error
 	Log  zerolog.Logger
-	// Registerer takes the metrics; required.
+	// Registerer registers the metrics; it is required.
 	Registerer prometheus.Registerer
 }
 
-// kind says what a message is.
+// kind is the type of a message.
 type kind uint8
 
 const (
-	hold    kind = iota + 1 // a question, which holds the key
-	held                    // its answer
-	set                     // a hold that decides, without an answer
-	release                 // the end of a hold
-	known                   // what another keeper knows
+	kindHold    kind = iota + 1 // a Hold; answered by kindHeld
+	kindHeld                    // a Held
+	kindSet                     // a Hold whose proposal is Set; has no answer
+	kindRelease                 // a Release; has no answer
+	kindReplica                 // a Replica; has no answer
 )
 
-// message is one packet.
+// message is the content of a packet.
 type message struct {
 	Kind      kind   `cbor:"1,keyasint"`
 	From      string `cbor:"2,keyasint,omitempty"`
-	Ask       uint64 `cbor:"3,keyasint,omitempty"`
+	RequestID uint64 `cbor:"3,keyasint,omitempty"`
 	Key       Key    `cbor:"4,keyasint,omitempty"`
 	Holder    uint64 `cbor:"5,keyasint,omitempty"`
 	Value     Value  `cbor:"6,keyasint,omitempty"`
 	KeepForMs int64  `cbor:"7,keyasint,omitempty"`
 	Rank      uint8  `cbor:"8,keyasint,omitempty"`
-	// Age is in an answer, and in what another keeper knows.
+	// Age is used in kindHeld and kindReplica.
 	Age time.Duration `cbor:"9,keyasint,omitempty"`
 }
 
-// longestKeep bounds what another VM may ask for.
-const longestKeep = time.Hour
+// maxRetention bounds the times that other VMs send.
+const maxRetention = time.Hour
 
-func (m *message) keepFor() time.Duration {
-	return time.Duration(min(max(m.KeepForMs, 0), longestKeep.Milliseconds())) * time.Millisecond
+// retention returns KeepForMs as a duration, limited to the range from 0 to maxRetention.
+func (m *message) retention() time.Duration {
+	return time.Duration(min(max(m.KeepForMs, 0), maxRetention.Milliseconds())) * time.Millisecond
 }
 
 func (m *message) hold() Hold {
-	return Hold{Key: m.Key, Holder: m.Holder, Longest: m.keepFor(), Proposal: m.Value, Rank: m.Rank}
+	return Hold{Key: m.Key, Holder: m.Holder, Longest: m.retention(), Proposal: m.Value, Rank: m.Rank}
 }
 
-// Service is one VM's part: it asks keepers, and keeps keys.
+// Service asks the keepers of keys, and stores the keys of which this VM is a keeper.
 type Service struct {
 	cfg   Config
 	board *Board
 	holds *prometheus.CounterVec
 
-	mu      sync.Mutex
-	waiting map[uint64]chan Held
-	last    *Ring // of the last Rebalance
+	mu       sync.Mutex
+	waiting  map[uint64]chan Held
+	lastRing *Ring // ring at the last Rebalance, nil before the first
 }
 
-// New returns a service; packets from other VMs go to Receive.
+// New returns a service. Packets from other VMs must be passed to Receive.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg, board: NewBoard(), waiting: make(map[uint64]chan Held), holds: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "goldcrest_sticky_holds_total", Help: "Questions for a key's value, by what became of them.",
+		Name: "goldcrest_sticky_holds_total", Help: "Queries for a key's value, by result.",
 	}, []string{"result"})}
 	cfg.Registerer.MustRegister(s.holds)
 	return s
 }
 
-// Hold asks the key's keepers; ok is false where none answered. It waits tries*askTimeout
-// at most, and no longer than ctx.
+// Hold holds the key at its keepers and returns its value; ok is false if no keeper answered. It
+// waits for at most maxAttempts*askTimeout, and no longer than ctx.
 func (s *Service) Hold(ctx context.Context, h Hold) (out Held, ok bool) {
 	keepers := s.cfg.Ring().Keepers(h.Key)
 	answers := s.ask(ctx, keepers, h)
@@ -100,8 +102,8 @@
 		s.holds.WithLabelValues("silent").Inc()
 		return Held{}, false
 	}
-	// The latest decision; else the keeper that has known the key for longest: another one
-	// may have lost its memory and taken a proposal since.
+	// The decision of the highest rank wins; at the same rank, the keeper that has known the key
+	// for longest: the other one may have lost its memory and stored a proposal since.
 	out = slices.MaxFunc(answers, func(a, b Held) int { return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Age, b.Age)) })
 	if out.Age > 0 {
 		s.holds.WithLabelValues("known").Inc()
@@ -112,11 +114,11 @@
 	return out, true
 }
 
-// ask returns the answers by the keepers' rank. Keepers that are silent are asked again
-// unless another one knows the key.
+// ask returns the answers in the order of keepers. It asks silent keepers again unless another
+// one knows the key.
 func (s *Service) ask(ctx context.Context, keepers []Keeper, h Hold) []Held {
-	ask, in := s.await()
-	defer s.forget(ask)
+	id, in := s.register()
+	defer s.unregister(id)
 	got := make(map[string]Held)
 	knows := func() bool {
 		for _, a := range got {
@@ -126,10 +128,10 @@
 		}
 		return false
 	}
-	for try := 0; try < tries && len(got) < len(keepers) && !knows() && ctx.Err() == nil; try++ {
+	for attempt := 0; attempt < maxAttempts && len(got) < len(keepers) && !knows() && ctx.Err() == nil; attempt++ {
 		for _, k := range keepers {
 			if _, ok := got[k.Name]; !ok {
-				s.question(k, ask, h, got)
+				s.askKeeper(k, id, h, got)
 			}
 		}
 		s.collect(ctx, in, got, len(keepers))
@@ -143,18 +145,18 @@
 	return out
 }
 
-// question asks one keeper; this VM answers itself at once.
-func (s *Service) question(k Keeper, ask uint64, h Hold, got map[string]Held) {
+// askKeeper sends the query to one keeper. If that is this VM, the answer is added to got at once.
+func (s *Service) askKeeper(k Keeper, id uint64, h Hold, got map[string]Held) {
 	if k.Name == s.cfg.Self {
 		a := s.board.Hold(s.cfg.Clock(), h)
 		a.Keeper = k.Name
 		got[k.Name] = a
 		return
 	}
-	s.send(k, message{Kind: hold, Ask: ask, Key: h.Key, Holder: h.Holder, Value: h.Proposal, KeepForMs: h.Longest.Milliseconds()})
+	s.send(k, message{Kind: kindHold, RequestID: id, Key: h.Key, Holder: h.Holder, Value: h.Proposal, KeepForMs: h.Longest.Milliseconds()})
 }
 
-// collect takes answers until all keepers' came, for askTimeout at most.
+// collect adds answers to got until all keepers have answered, for at most askTimeout.
 func (s *Service) collect(ctx context.Context, in <-chan Held, got map[string]Held, keepers int) {
 	t := time.NewTimer(askTimeout)
 	defer t.Stop()
@@ -172,79 +174,80 @@
 	}
 }
 
-// correct tells the value to the keepers that answered otherwise, or may have taken the
-// proposal instead.
+// correct sends the right value to the keepers that answered with another one, and to silent ones
+// that may have stored the proposal instead.
 func (s *Service) correct(keepers []Keeper, answers []Held, h Hold, right Held) {
 	for _, k := range keepers {
-		has := h.Proposal
+		answered := h.Proposal
 		if i := slices.IndexFunc(answers, func(a Held) bool { return a.Keeper == k.Name }); i >= 0 {
-			has = answers[i].Value
+			answered = answers[i].Value
 		}
-		if has != right.Value {
-			s.copyTo(k, Copy{Key: h.Key, Value: right.Value, Rank: right.Rank, Age: max(right.Age, 1), Rest: h.Longest})
+		if answered != right.Value {
+			s.sendReplica(k, Replica{Key: h.Key, Value: right.Value, Rank: right.Rank, Age: max(right.Age, 1), Retention: h.Longest})
 		}
 	}
 }
 
-// Set makes the proposal the key's value, where no decision of a higher rank did.
+// Set holds the key and makes the proposal its value at both keepers, unless they know a decision
+// of a higher rank. It doesn't wait for the keepers.
 func (s *Service) Set(h Hold) {
 	for _, k := range s.cfg.Ring().Keepers(h.Key) {
-		s.tell(k, message{Kind: set, Key: h.Key, Holder: h.Holder, Value: h.Proposal, Rank: h.Rank, KeepForMs: h.Longest.Milliseconds()})
+		s.deliver(k, message{Kind: kindSet, Key: h.Key, Holder: h.Holder, Value: h.Proposal, Rank: h.Rank, KeepForMs: h.Longest.Milliseconds()})
 	}
 }
 
-// copyTo gives a keeper what is known of a key.
-func (s *Service) copyTo(k Keeper, c Copy) {
-	s.tell(k, message{Kind: known, Key: c.Key, Value: c.Value, Rank: c.Rank, Age: c.Age, KeepForMs: c.Rest.Milliseconds()})
+// sendReplica sends the state of a key to a keeper.
+func (s *Service) sendReplica(k Keeper, c Replica) {
+	s.deliver(k, message{Kind: kindReplica, Key: c.Key, Value: c.Value, Rank: c.Rank, Age: c.Age, KeepForMs: c.Retention.Milliseconds()})
 }
 
-// Release ends a hold.
+// Release ends a hold at both keepers. It doesn't wait for them.
 func (s *Service) Release(r Release) {
 	for _, k := range s.cfg.Ring().Keepers(r.Key) {
-		s.tell(k, message{Kind: release, Key: r.Key, Holder: r.Holder, Value: r.Value, KeepForMs: r.Rest.Milliseconds()})
+		s.deliver(k, message{Kind: kindRelease, Key: r.Key, Holder: r.Holder, Value: r.Value, KeepForMs: r.Rest.Milliseconds()})
 	}
 }
 
-// HandOver gives what this VM knows to the keepers on a ring without it, and returns how
-// many keys that were.
+// HandOver sends the keys of this VM to their keepers on a ring without this VM, and returns the
+// number of keys.
 func (s *Service) HandOver(ring *Ring) int {
-	all := s.board.All(s.cfg.Clock())
+	all := s.board.Replicas(s.cfg.Clock())
 	for _, c := range all {
 		for _, k := range ring.Keepers(c.Key) {
-			s.copyTo(k, c)
+			s.sendReplica(k, c)
 		}
 	}
 	return len(all)
 }
 
-// Rebalance gives what this VM knows to VMs that became keepers of it since the last call,
-// by others' end or by their own start; one that starts knows nothing.
+// Rebalance sends the keys of this VM to the VMs that became their keepers since the last call,
+// because another keeper left or because they started. A VM that starts has no keys.
 func (s *Service) Rebalance() {
 	ring := s.cfg.Ring()
 	s.mu.Lock()
-	last := s.last
-	s.last = ring
+	last := s.lastRing
+	s.lastRing = ring
 	s.mu.Unlock()
-	if last == nil || last.same(ring) {
+	if last == nil || last.equal(ring) {
 		return
 	}
-	for _, c := range s.board.All(s.cfg.Clock()) {
+	for _, c := range s.board.Replicas(s.cfg.Clock()) {
 		before := last.Keepers(c.Key)
 		for _, k := range ring.Keepers(c.Key) {
 			if !slices.Contains(before, k) {
-				s.copyTo(k, c)
+				s.sendReplica(k, c)
 			}
 		}
 	}
 }
 
-// Sweep forgets keys that are over, and returns how many are left.
+// Sweep removes expired keys and returns how many are left at this VM.
 func (s *Service) Sweep() int { return s.board.Sweep(s.cfg.Clock()) }
 
-// tell gives a message without an answer to a keeper, which may be this VM.
-func (s *Service) tell(k Keeper, m message) {
+// deliver passes a message that has no answer to a keeper, which may be this VM.
+func (s *Service) deliver(k Keeper, m message) {
 	if k.Name == s.cfg.Self {
-		s.keep(&m)
+		s.apply(&m)
 		return
 	}
 	s.send(k, m)
@@ -259,11 +262,11 @@
 		err = s.cfg.Send(b, address)
 	}
 	if err != nil {
-		s.cfg.Log.Warn().Err(err).Str("address", address).Msg("message on a key can't be sent")
+		s.cfg.Log.Warn().Err(err).Str("address", address).Msg("can't send the message about a key")
 	}
 }
 
-// Receive takes a packet of another VM.
+// Receive processes a packet from another VM; from is the address for the answer.
 func (s *Service) Receive(b []byte, from string) {
 	var m message
 	if err := cbor.Unmarshal(b, &m); err != nil {
@@ -271,46 +274,47 @@
 		return
 	}
 	switch m.Kind {
-	case hold:
+	case kindHold:
 		a := s.board.Hold(s.cfg.Clock(), m.hold())
-		s.sendTo(from, message{Kind: held, Ask: m.Ask, Value: a.Value, Rank: a.Rank, Age: a.Age})
-	case held:
+		s.sendTo(from, message{Kind: kindHeld, RequestID: m.RequestID, Value: a.Value, Rank: a.Rank, Age: a.Age})
+	case kindHeld:
 		s.mu.Lock()
-		in := s.waiting[m.Ask]
+		in := s.waiting[m.RequestID]
 		s.mu.Unlock()
 		select {
 		case in <- Held{Value: m.Value, Rank: m.Rank, Age: m.Age, Keeper: m.From}:
-		default: // late, or not for this process
+		default: // late, or of another incarnation of this VM
 		}
 	default:
-		s.keep(&m)
+		s.apply(&m)
 	}
 }
 
-// keep takes a message that has no answer.
-func (s *Service) keep(m *message) {
+// apply applies a message that has no answer to the board.
+func (s *Service) apply(m *message) {
 	now := s.cfg.Clock()
 	switch m.Kind {
-	case set:
+	case kindSet:
 		s.board.Set(now, m.hold())
-	case known:
-		s.board.Copy(now, Copy{Key: m.Key, Value: m.Value, Rank: m.Rank, Age: min(max(m.Age, 1), longestKeep), Rest: m.keepFor()})
-	case release:
-		s.board.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Rest: m.keepFor()})
+	case kindReplica:
+		s.board.Merge(now, Replica{Key: m.Key, Value: m.Value, Rank: m.Rank, Age: min(max(m.Age, 1), maxRetention), Retention: m.retention()})
+	case kindRelease:
+		s.board.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Rest: m.retention()})
 	}
 }
 
-// await opens a question.
-func (s *Service) await() (ask uint64, in chan Held) {
-	ask, in = rand.Uint64(), make(chan Held, copies*tries)
+// register registers a query under a new ID, whose answers arrive on in.
+func (s *Service) register() (id uint64, in chan Held) {
+	id, in = rand.Uint64(), make(chan Held, replicas*maxAttempts)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting[ask] = in
-	return ask, in
+	s.waiting[id] = in
+	return id, in
 }
 
-func (s *Service) forget(ask uint64) {
+// unregister ends a query; later answers are dropped.
+func (s *Service) unregister(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, ask)
+	delete(s.waiting, id)
 }
--- a/fleet/sticky/sticky_test.go
+++ b/fleet/sticky/sticky_test.go
@@ -19,13 +19,13 @@
 	second
 )
 
-// fleet is some VMs with a network in memory, whose packets arrive at once or are lost.
+// fleet simulates VMs and a network whose packets arrive at once or are lost.
 type fleet struct {
 	began time.Time
 	vms   map[string]*Service
 	ring  []Keeper
-	lose  func(from, to string) bool
-	count func(bytes int) // of each packet
+	lose  func(from, to string) bool // whether a packet is lost
+	count func(bytes int)            // called for each packet
 }
 
 func newFleet(n int) *fleet {
@@ -38,7 +38,7 @@
 	return f
 }
 
-// start starts a VM, without its memory if it ran before.
+// start starts a VM; a VM that ran before restarts without its keys.
 func (f *fleet) start(name string) {
 	f.vms[name] = New(Config{
 		Self: name, Clock: func() time.Duration { return time.Since(f.began) }, Ring: func() *Ring { return NewRing(f.ring...) },
@@ -53,14 +53,14 @@
 	})
 }
 
-// ask has a VM propose a value for a key.
+// ask holds a key at a VM with a proposal.
 func (f *fleet) ask(t *testing.T, vm string, k Key, holder uint64, proposal Value) Held {
 	h, ok := f.vms[vm].Hold(t.Context(), Hold{Key: k, Holder: holder, Longest: 20 * time.Second, Proposal: proposal})
 	require.True(t, ok)
 	return h
 }
 
-// Guards against two VMs that decide differently about a key that neither knew.
+// Guards against two VMs that decide differently on a key that is new to both.
 func TestOneDecisionForAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(91)
@@ -76,7 +76,8 @@
 	})
 }
 
-// Guards against a key forgotten while a request holds it, or kept for ever after a lost release.
+// Guards against a key that is removed while a request holds it, or kept for ever after its
+// release is lost.
 func TestKeyIsKeptForItsRequestsAndARest(t *testing.T) {
 	b, k := NewBoard(), KeyOf("k")
 	hold := func(now time.Duration, holder uint64, proposal Value) Value {
@@ -88,16 +89,17 @@
 	require.Equal(t, first, hold(18*time.Second, 3, second), "held by the second request")
 	b.Release(18*time.Second, Release{Key: k, Holder: 3})
 	require.Equal(t, 1, b.Sweep(18999*time.Millisecond))
-	require.Equal(t, 0, b.Sweep(19*time.Second), "its release was lost")
+	require.Equal(t, 0, b.Sweep(19*time.Second), "expired without a release")
 	require.Equal(t, second, hold(19*time.Second, 4, second))
 	b.Set(20*time.Second, Hold{Key: k, Holder: 5, Longest: time.Second, Proposal: first})
 	b.Release(20*time.Second, Release{Key: k, Holder: 4, Value: second, Rest: 5 * time.Second})
-	require.Equal(t, first, hold(24*time.Second, 6, second), "decided anew while the request ran")
+	require.Equal(t, first, hold(24*time.Second, 6, second), "set while the request ran")
 	b.Release(time.Minute, Release{Key: k, Holder: 6, Value: second, Rest: 5 * time.Second})
-	require.Equal(t, second, hold(time.Minute, 7, first), "its keepers didn't know it")
+	require.Equal(t, second, hold(time.Minute, 7, first), "released with a value while unknown")
 }
 
-// Guards against a key forgotten with one of its keepers, which comes back empty and ranks first.
+// Guards against a key that is lost when one of its keepers restarts without its keys, also the
+// one that ranks first.
 func TestKeyOutlivesOneKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(7)
@@ -113,7 +115,7 @@
 	})
 }
 
-// Guards against keys lost with both keepers, stopped one after the other.
+// Guards against keys that are lost when their keepers stop one after the other.
 func TestStoppingKeeperHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(7)
@@ -129,7 +131,8 @@
 	})
 }
 
-// Guards against a decision undone by an earlier one that one keeper still has, or that comes late.
+// Guards against a decision that is undone by an earlier one, which a keeper still has or which
+// arrives late.
 func TestLaterDecisionHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(7)
@@ -145,10 +148,10 @@
 	})
 }
 
-// other is a VM that isn't the given one.
+// other returns a VM that isn't the given one.
 func (f *fleet) other(k Keeper) string { return without(f.ring, k)[0].Name }
 
-// Guards against a key lost when its keepers stop in turn and come back empty.
+// Guards against a key that is lost when its keepers stop in turn and restart without their keys.
 func TestKeyOutlivesKeepersThatRestartInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(7)
@@ -185,7 +188,8 @@
 	return out
 }
 
-// Guards against a caller held up, or an answer made up, where no keeper answers.
+// Guards against a caller that waits longer than the timeouts or past its own context, or gets a
+// value, when no keeper answers.
 func TestSilentKeepersDecideNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
@@ -200,7 +204,7 @@
 		began := time.Now()
 		_, ok := f.vms[asker].Hold(t.Context(), Hold{Key: k, Holder: 1, Longest: time.Second, Proposal: first})
 		require.False(t, ok)
-		require.Equal(t, tries*askTimeout, time.Since(began))
+		require.Equal(t, maxAttempts*askTimeout, time.Since(began))
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, ok = f.vms[asker].Hold(ctx, Hold{Key: k, Holder: 1, Longest: time.Second, Proposal: first})
@@ -208,7 +212,7 @@
 	})
 }
 
-// Guards against a held key that changes its value after lost packets and a keeper's restart.
+// Guards against a held key whose value changes after lost packets and a keeper's restart.
 func TestHeldKeyKeepsItsValue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(21, 1))
@@ -222,7 +226,7 @@
 			for n := range 5 {
 				f.began = f.began.Add(-time.Second)
 				if n == 2 {
-					f.start(NewRing(f.ring...).Keepers(k)[rng.IntN(copies)].Name)
+					f.start(NewRing(f.ring...).Keepers(k)[rng.IntN(replicas)].Name)
 				}
 				asked++
 				if f.ask(t, f.ring[rng.IntN(9)].Name, k, uint64(2+n), 3-value).Value != before {
@@ -230,11 +234,11 @@
 				}
 			}
 		}
-		require.LessOrEqual(t, changed, asked/1000, "both questions to a keeper are lost")
+		require.LessOrEqual(t, changed, asked/1000, "a change is possible only if both queries to a keeper are lost")
 	})
 }
 
-// The two keepers are the first two of the whole ranking, whatever the order of the VMs.
+// The two keepers must be the first two of the whole ranking, whatever the order of the VMs.
 func TestRingRanks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9]{1,6}`), 0, 12, rapid.ID[string]).Draw(t, "names")
@@ -244,7 +248,7 @@
 			keepers = append(keepers, Keeper{Name: n})
 		}
 		got := NewRing(keepers...).Keepers(k)
-		require.Len(t, got, min(copies, len(names)))
+		require.Len(t, got, min(replicas, len(names)))
 		require.Equal(t, got, NewRing(rapid.Permutation(keepers).Draw(t, "shuffled")...).Keepers(k))
 		if len(got) > 0 {
 			require.Equal(t, got[0], NewRing(got...).Keepers(k)[0])
@@ -253,7 +257,7 @@
 	})
 }
 
-// Another VM may send anything.
+// Guards against a panic on any packet of another VM.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0xa1, 0x01, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -263,7 +267,8 @@
 	})
 }
 
-// One question to two of 91 keepers over a network in memory, with the bytes of its packets.
+// BenchmarkHold measures a Hold and its Release at two keepers of 91 over a simulated network, and
+// reports the packets and their bytes.
 func BenchmarkHold(b *testing.B) {
 	f := newFleet(91)
 	var sent, packets int
