--- a/fleet/address/address.go
+++ b/fleet/address/address.go
@@ -1,12 +1,12 @@
-// Package address answers a caller's question which entry VMs to use.
+// Package address selects the entry VMs that a caller should use.
 //
-// Load pattern: thousands of callers ask now and then, keep the answer for a
-// while and connect by themselves; no balancer stands between. Without a stable
-// order a caller would spread its sessions and connections over all VMs; without
-// the load in it, large callers would settle on one VM.
+// Load pattern: thousands of callers ask occasionally, keep the answer for a
+// while and connect directly, without a load balancer in between. Without a stable
+// order, a caller would spread its sessions and connections over all VMs; if the
+// order ignored the load, large callers would stay on one VM.
 //
-// The package is pure: the members come as an argument, and whether they are
-// fresh enough to be used is the caller's to ask (member.Table.Fresh).
+// The package has no state: the members are an argument, and the calling code
+// checks whether they are fresh enough (member.Table.Fresh).
 package address
 
 import (
@@ -19,21 +19,21 @@
 )
 
 const (
-	// Keep is how long a caller may use an answer. 20 s: at 400 VMs and 12,000
-	// callers it means 600 questions a second, two a VM, and a planned stop waits it out once.
+	// Keep is how long a caller may use an answer. With 400 VMs and 12,000 callers,
+	// 20 s means 600 requests a second, about two a VM. A planned stop waits for it once.
 	Keep = 20 * time.Second
-	// Spread is how long a VM that drains may still be named by others. 15 s: the
-	// word reaches all in some ten ticks of a second (docs/design/membership.md).
+	// Spread is how long other VMs may still name a VM that drains. The state reaches
+	// all VMs in about ten ticks of a second (docs/design/membership.md).
 	Spread = 15 * time.Second
-	// Drain is how long a VM that stops must go on taking callers after it told
-	// that it drains: the last answer that names it is given within Spread and
-	// is used for Keep.
+	// Drain is how long a VM that stops must continue to serve callers after it
+	// announced that it drains: the last answer that names it is given within Spread
+	// and is used for Keep.
 	Drain = Spread + Keep
-	// MaxAddresses bounds an answer: a first choice and two to fall back on
-	// besides, so that a caller outlives two VM failures within one Keep.
+	// MaxAddresses bounds the addresses of an answer: a first choice and two
+	// alternatives, so that a caller survives two VM failures within one Keep.
 	MaxAddresses = 3
-	// loadSteps is how finely loads count. Four steps: a caller's first choice
-	// should not change with each report.
+	// loadSteps is the number of steps to which loads are rounded, so that a caller's
+	// first choice doesn't change with every load report.
 	loadSteps = 4
 )
 
@@ -43,43 +43,44 @@
 	// Address is "ip:port" where callers connect.
 	Address    string
 	DataCentre string
-	// Load in thousandths of what the VM bears.
+	// Load is the VM's load in thousandths of its capacity.
 	Load uint16
-	// Leaving: it drains or the platform takes it away.
+	// Leaving reports that the VM drains or that the platform removes it.
 	Leaving bool
-	// Doubtful: it is suspected to be down.
+	// Doubtful reports that the VM is suspected to be down.
 	Doubtful bool
 }
 
-// Question is what is known of the caller.
+// Question describes the caller.
 type Question struct {
-	// Caller identifies it from question to question: its client account and, where known, its address.
+	// Caller identifies the caller across requests: its client account and, if known, its address.
 	Caller string
-	// DataCentre is the one nearest to it, empty when not known.
+	// DataCentre is the data centre nearest to the caller, empty if unknown.
 	DataCentre string
 }
 
-// View is what the answering VM knows.
+// View is the answering VM's state of the fleet.
 type View struct {
 	Candidates []Candidate
-	// Out tells whether operators took a data centre out; nil means none.
+	// Out reports whether operators took a data centre out of service; nil means none.
 	Out func(dataCentre string) bool
-	// Distance ranks data centres seen from the caller's, smaller is nearer; nil
-	// knows only "the same" and "another".
+	// Distance returns the distance between two data centres; smaller is nearer. If it is
+	// nil, the distance is 0 within a data centre and 1 between two.
 	Distance func(from, to string) int
 }
 
-// Answer goes to the caller.
+// Answer is the result for the caller.
 type Answer struct {
-	// Addresses in the order to try; empty when no VM may be named.
+	// Addresses are the addresses to try, in this order; empty if no VM may be named.
 	Addresses []string
-	// Keep is how long to use them before asking again.
+	// Keep is how long to use the addresses before asking again.
 	Keep time.Duration
 }
 
-// Choose ranks the VMs for a caller: nearest data centres first, within a
-// distance by rendezvous weighted with the room that is left. VMs that leave and
-// those in a data centre that is out are never named; suspects only if nothing else is there.
+// Choose ranks the VMs for a caller: the nearest data centres first, and VMs of the
+// same distance by rendezvous hashing weighted by free capacity. It never names VMs
+// that leave or whose data centre is out of service, and names suspected VMs after
+// all others.
 func Choose(q Question, v View) Answer {
 	usable := slices.DeleteFunc(slices.Clone(v.Candidates), func(c Candidate) bool {
 		return c.Leaving || c.Address == "" || (v.Out != nil && v.Out(c.DataCentre))
@@ -99,6 +100,7 @@
 	return answer
 }
 
+// distance returns the distance of a candidate from a data centre, 0 if that is unknown.
 func (v View) distance(from string, c Candidate) int {
 	switch {
 	case from == "":
@@ -111,17 +113,18 @@
 	return 1
 }
 
-// score is weighted rendezvous hashing: each VM is first for a share of callers in
-// proportion to its room, and a change of one VM's load moves only callers from
-// or to that VM.
+// score returns the weight of a VM for a caller by weighted rendezvous hashing: each VM
+// ranks first for a share of callers in proportion to its free capacity, and a change of
+// one VM's load moves only callers from or to that VM.
 func score(caller string, c Candidate) float64 {
 	const full = 1000
 	step := min(int(c.Load), full-1) * loadSteps / full
-	room := float64(loadSteps - step)
+	free := float64(loadSteps - step)
 	uniform := (float64(rendezvous.Weight(caller, c.ID)>>11) + 0.5) / (1 << 53)
-	return -room / math.Log(uniform)
+	return -free / math.Log(uniform)
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/fleet/address/address_test.go
+++ b/fleet/address/address_test.go
@@ -23,9 +23,9 @@
 	return all
 }
 
-// Operators take a data centre out and VMs leave while callers ask. No answer may
-// name them, the order must not depend on the order of the view (two VMs answer
-// one caller alike), and a VM that goes moves only callers that used it.
+// Operators take a data centre out of service and VMs leave. No answer may name these
+// VMs, the answer must not depend on the order of the candidates, which differs between
+// VMs, and a VM that is removed must move only the callers that used it.
 func TestChooseNamesOnlyVMsThatTakeCallers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawCandidates(t)
@@ -56,8 +56,8 @@
 	})
 }
 
-// One VM of four is nearly full. Callers must prefer the others in proportion to
-// their room, near ones first, or a full VM would go on getting its whole share.
+// One VM of four is nearly full. Callers must be spread over the near VMs in proportion
+// to their free capacity, or the full VM would still get an equal share.
 func TestChooseSpreadsByRoom(t *testing.T) {
 	const callers = 8000
 	view := View{Candidates: []Candidate{
@@ -69,7 +69,7 @@
 		first[Choose(Question{Caller: fmt.Sprint(i), DataCentre: "a"}, view).Addresses[0]]++
 	}
 	require.Zero(t, first["b1"])
-	// Rooms 4, 4 and 1 of 9; five standard deviations are about 220.
+	// The free capacities are 4, 4 and 1 of 9; five standard deviations are about 220.
 	require.InDelta(t, callers*4/9, first["a1"], 220)
 	require.InDelta(t, callers/9, first["a3"], 140)
 }
--- a/fleet/address/example_test.go
+++ b/fleet/address/example_test.go
@@ -6,8 +6,8 @@
 	"goldcrestfork/fleet/address"
 )
 
-// A caller near norte-a asks which VMs to use. The one that leaves and the one whose
-// data centre is out are not named.
+// A caller near norte-a asks which VMs to use. The answer leaves out a VM that leaves and a
+// VM whose data centre is out of service.
 func ExampleChoose() {
 	answer := address.Choose(address.Question{Caller: "bakers", DataCentre: "norte-a"}, address.View{
 		Candidates: []address.Candidate{
--- a/fleet/rendezvous/rendezvous.go
+++ b/fleet/rendezvous/rendezvous.go
@@ -1,9 +1,9 @@
-// Package rendezvous ranks ids for a key by highest random weight.
+// Package rendezvous ranks ids for a key by rendezvous hashing (highest random weight).
 //
-// Every VM that knows the same ids computes the same order without asking
-// anyone, and an id that comes or goes moves only the keys that it wins. Two VMs
-// with different ids may disagree: a caller that needs more than a preference
-// has to agree on the set of ids first (see package slot).
+// VMs that know the same ids compute the same order without communication, and an
+// id that is added or removed moves only the keys for which it ranks first. Two VMs
+// with different ids may disagree: if an algorithm needs more than a preference, its
+// VMs must first agree on the set of ids (see package slot).
 package rendezvous
 
 import (
@@ -13,25 +13,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight is the weight of id for key; the highest wins.
+// Weight returns the weight of id for key; the id with the highest weight ranks first.
 func Weight(key, id string) uint64 { return Mark(key).Weight(Mark(id)) }
 
-// Hash is a key or an id as weights are made of it, for callers that compare one with
-// thousands.
+// Hash is the hash of a key or an id, from which weights are computed. Callers that compare one
+// key with thousands of ids keep the hashes.
 type Hash uint64
 
 // Mark returns the hash of a key or an id.
 func Mark(s string) Hash { return Hash(xxhash.Sum64String(s)) }
 
-// Short names an id among thousands in messages.
+// Short returns the lower 32 bits, enough to identify one of thousands of ids in messages.
 func (h Hash) Short() uint32 { return uint32(h) }
 
-// Weight is the weight of an id for the key.
+// Weight returns the weight of an id for the key.
 func (key Hash) Weight(id Hash) uint64 { return mix(uint64(key) ^ mix(uint64(id))) }
 
-// mix is the finalizer of SplitMix64. The exclusive or of two hashes alone would
-// keep the differences between ids equal for all keys, so that losing one id
-// would hand all of its keys to few others.
+// mix is the finalizer of SplitMix64. With only the exclusive or of the two hashes, the
+// differences between ids would be the same for all keys, and the keys of a removed id
+// would all move to a few other ids.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -39,7 +39,7 @@
 	return x ^ (x >> 31)
 }
 
-// Best returns the id that key prefers, "" when ids is empty. It does not allocate.
+// Best returns the id that ranks first for key, "" if ids is empty. It does not allocate.
 func Best(key string, ids []string) string {
 	best, weight := "", uint64(0)
 	for _, id := range ids {
@@ -51,13 +51,13 @@
 	return best
 }
 
-// Rank returns ids in the order that key prefers; ids stays as it is.
+// Rank returns ids in their order for key, the highest weight first. It doesn't change ids.
 func Rank(key string, ids []string) []string {
 	return RankBy(key, ids, func(id string) string { return id })
 }
 
-// Place returns how many of ids key prefers to id, -1 where id isn't among them. It does not
-// allocate: for 300 ids it takes 4 us, Rank 66.
+// Place returns the position of id in the order of ids for key, from 0, or -1 if ids doesn't
+// contain it. It doesn't allocate: for 300 ids it takes 4 us, while Rank takes 66 us.
 func Place(key, id string, ids []string) int {
 	k := Mark(key)
 	own := k.Weight(Mark(id))
@@ -77,7 +77,8 @@
 	return place
 }
 
-// RankBy returns items in the order in which key prefers their ids; items stays as it is.
+// RankBy returns items in the order of their ids for key, the highest weight first. It doesn't
+// change items.
 func RankBy[T any](key string, items []T, id func(T) string) []T {
 	type weighted struct {
 		weight uint64
--- a/fleet/rendezvous/rendezvous_test.go
+++ b/fleet/rendezvous/rendezvous_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Two VMs list the same ids in different orders and one id goes. Both must
-// agree, and no key may move between ids that stayed, or slots and shards of
-// live VMs would change hands at each replacement.
+// Two VMs list the same ids in different orders, and one id is removed. Both must
+// agree, and no key may move between the remaining ids, or each replacement of a VM
+// would move slots and shards between live VMs.
 func TestRankIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z0-9]{1,8}`), 1, 20, rapid.ID[string]).Draw(t, "ids")
@@ -25,7 +25,8 @@
 	})
 }
 
-// One VM of 20 goes: its keys must spread over the others instead of doubling one VM's load.
+// One VM of 20 is removed: its keys must spread over the others instead of doubling the load of
+// one of them.
 func TestKeysOfALostIDSpread(t *testing.T) {
 	const keys = 19000
 	ids := make([]string, 20)
@@ -57,6 +58,7 @@
 	}
 }
 
+// Place must return the index of an id in Rank's result, without computing the whole order.
 func TestPlaceIsThatOfTheRank(t *testing.T) {
 	var ids []string
 	for i := range 40 {
