--- a/fleet/gossip/service.go
+++ b/fleet/gossip/service.go
@@ -38,7 +38,7 @@
 	socket      *datagram.Socket
 	incarnation uint64
 	sequence    atomic.Uint64
-	nudge       chan struct{}
+	trigger     chan struct{}
 	received    *prometheus.CounterVec
 }
 
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	s := &Service{
-		cfg: cfg, table: NewTable(cfg.Self), socket: socket, incarnation: rand.Uint64(), nudge: make(chan struct{}, 1),
+		cfg: cfg, table: NewTable(cfg.Self), socket: socket, incarnation: rand.Uint64(), trigger: make(chan struct{}, 1),
 		received: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_gossip_received_total", Help: "Datagrams from other VMs, by result.",
 		}, []string{"result"}),
@@ -70,7 +70,7 @@
 // Nudge makes Run send a round at once, for example when this VM stops being ready.
 func (s *Service) Nudge() {
 	select {
-	case s.nudge <- struct{}{}:
+	case s.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -91,7 +91,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-s.nudge:
+		case <-s.trigger:
 		}
 	}
 }
--- a/fleet/gossip/table.go
+++ b/fleet/gossip/table.go
@@ -302,9 +302,9 @@
 	// to the same receivers at the same time.
 	shuffle(rng, due)
 	slices.SortStableFunc(due, func(a, b *peer) int { return cmp.Compare(a.sentAt, b.sentAt) })
-	near, far := t.selectReceivers(due, allDataCentres)
+	local, remote := t.selectReceivers(due, allDataCentres)
 	var out []Batch
-	for _, part := range []struct{ to, about []*peer }{{near, alive}, {far, own}} {
+	for _, part := range []struct{ to, about []*peer }{{local, alive}, {remote, own}} {
 		if len(part.to) == 0 {
 			continue
 		}
@@ -349,7 +349,8 @@
 func (t *Table) reportCount() int { return min(max(len(t.peers)/reportShare, minReports), maxReports) }
 
 // selectReceivers takes a round's receivers from the peers that are due, in the given order:
-// mostly from this VM's data centre, or from all alike if allDataCentres. Callers hold t.mu.
+// mostly from this VM's data centre (local). If allDataCentres is set or the fanout reaches all of
+// them, local has the receivers of all data centres and remote is empty. Callers hold t.mu.
 func (t *Table) selectReceivers(due []*peer, allDataCentres bool) (local, remote []*peer) {
 	if allDataCentres || len(due) <= fanout {
 		return due[:min(fanout, len(due))], nil
--- a/fleet/sticky/doc.go
+++ b/fleet/sticky/doc.go
@@ -15,5 +15,5 @@
 // The store is best effort: a VM that gets no answer must fall back on a value that is safe for
 // an unknown key, and then sends the keepers the outcome.
 //
-// Lock order: Service.mu and Board.mu are leaves; none is held over the network.
+// Lock order: Service.mu and Store.mu are leaves; none is held over the network.
 package sticky
--- a/fleet/sticky/service.go
+++ b/fleet/sticky/service.go
@@ -76,7 +76,7 @@
 // Service asks the keepers of keys, and stores the keys of which this VM is a keeper.
 type Service struct {
 	cfg   Config
-	board *Board
+	store *Store
 	holds *prometheus.CounterVec
 
 	mu       sync.Mutex
@@ -86,7 +86,7 @@
 
 // New returns a service. Packets from other VMs must be passed to Receive.
 func New(cfg Config) *Service {
-	s := &Service{cfg: cfg, board: NewBoard(), waiting: make(map[uint64]chan Held), holds: prometheus.NewCounterVec(prometheus.CounterOpts{
+	s := &Service{cfg: cfg, store: NewStore(), waiting: make(map[uint64]chan Held), holds: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "goldcrest_sticky_holds_total", Help: "Queries for a key's value, by result.",
 	}, []string{"result"})}
 	cfg.Registerer.MustRegister(s.holds)
@@ -148,7 +148,7 @@
 // askKeeper sends the query to one keeper. If that is this VM, the answer is added to got at once.
 func (s *Service) askKeeper(k Keeper, id uint64, h Hold, got map[string]Held) {
 	if k.Name == s.cfg.Self {
-		a := s.board.Hold(s.cfg.Clock(), h)
+		a := s.store.Hold(s.cfg.Clock(), h)
 		a.Keeper = k.Name
 		got[k.Name] = a
 		return
@@ -211,7 +211,7 @@
 // HandOver sends the keys of this VM to their keepers on a ring without this VM, and returns the
 // number of keys.
 func (s *Service) HandOver(ring *Ring) int {
-	all := s.board.Replicas(s.cfg.Clock())
+	all := s.store.Replicas(s.cfg.Clock())
 	for _, c := range all {
 		for _, k := range ring.Keepers(c.Key) {
 			s.sendReplica(k, c)
@@ -231,7 +231,7 @@
 	if last == nil || last.equal(ring) {
 		return
 	}
-	for _, c := range s.board.Replicas(s.cfg.Clock()) {
+	for _, c := range s.store.Replicas(s.cfg.Clock()) {
 		before := last.Keepers(c.Key)
 		for _, k := range ring.Keepers(c.Key) {
 			if !slices.Contains(before, k) {
@@ -242,7 +242,7 @@
 }
 
 // Sweep removes expired keys and returns how many are left at this VM.
-func (s *Service) Sweep() int { return s.board.Sweep(s.cfg.Clock()) }
+func (s *Service) Sweep() int { return s.store.Sweep(s.cfg.Clock()) }
 
 // deliver passes a message that has no answer to a keeper, which may be this VM.
 func (s *Service) deliver(k Keeper, m message) {
@@ -275,7 +275,7 @@
 	}
 	switch m.Kind {
 	case kindHold:
-		a := s.board.Hold(s.cfg.Clock(), m.hold())
+		a := s.store.Hold(s.cfg.Clock(), m.hold())
 		s.sendTo(from, message{Kind: kindHeld, RequestID: m.RequestID, Value: a.Value, Rank: a.Rank, Age: a.Age})
 	case kindHeld:
 		s.mu.Lock()
@@ -290,16 +290,16 @@
 	}
 }
 
-// apply applies a message that has no answer to the board.
+// apply applies a message that has no answer to the store.
 func (s *Service) apply(m *message) {
 	now := s.cfg.Clock()
 	switch m.Kind {
 	case kindSet:
-		s.board.Set(now, m.hold())
+		s.store.Set(now, m.hold())
 	case kindReplica:
-		s.board.Merge(now, Replica{Key: m.Key, Value: m.Value, Rank: m.Rank, Age: min(max(m.Age, 1), maxRetention), Retention: m.retention()})
+		s.store.Merge(now, Replica{Key: m.Key, Value: m.Value, Rank: m.Rank, Age: min(max(m.Age, 1), maxRetention), Retention: m.retention()})
 	case kindRelease:
-		s.board.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Rest: m.retention()})
+		s.store.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Rest: m.retention()})
 	}
 }
 
--- a/fleet/sticky/sticky_test.go
+++ b/fleet/sticky/sticky_test.go
@@ -79,7 +79,7 @@
 // Guards against a key that is removed while a request holds it, or kept for ever after its
 // release is lost.
 func TestKeyIsKeptForItsRequestsAndARest(t *testing.T) {
-	b, k := NewBoard(), KeyOf("k")
+	b, k := NewStore(), KeyOf("k")
 	hold := func(now time.Duration, holder uint64, proposal Value) Value {
 		return b.Hold(now, Hold{Key: k, Holder: holder, Longest: 10 * time.Second, Proposal: proposal}).Value
 	}
--- a/fleet/sticky/board.go
+++ b/fleet/sticky/store.go
@@ -61,7 +61,7 @@
 	Keeper string
 }
 
-// entry is the state of a key at a keeper; its times are those of the Board's clock.
+// entry is the state of a key at a keeper; its times are those of the Store's clock.
 type entry struct {
 	value Value
 	rank  uint8
@@ -93,21 +93,21 @@
 	return end
 }
 
-// Board stores the keys of one keeper. It is safe for concurrent use. Methods take the current
+// Store holds the keys of one keeper. It is safe for concurrent use. Methods take the current
 // time of a clock that continues while the VM is suspended.
-type Board struct {
+type Store struct {
 	mu      sync.Mutex
 	entries map[Key]*entry
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board { return &Board{entries: make(map[Key]*entry)} }
+// NewStore returns an empty store.
+func NewStore() *Store { return &Store{entries: make(map[Key]*entry)} }
 
 // Hold holds the key and returns its value; a key without a value takes the proposal.
-func (b *Board) Hold(now time.Duration, h Hold) Held {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, known := b.lookup(now, h.Key)
+func (s *Store) Hold(now time.Duration, h Hold) Held {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e, known := s.lookup(now, h.Key)
 	if e == nil {
 		return Held{Value: h.Proposal}
 	}
@@ -120,10 +120,10 @@
 }
 
 // Set holds the key and makes the proposal its value, unless a decision of a higher rank is known.
-func (b *Board) Set(now time.Duration, h Hold) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, _ := b.lookup(now, h.Key)
+func (s *Store) Set(now time.Duration, h Hold) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e, _ := s.lookup(now, h.Key)
 	if e == nil {
 		return
 	}
@@ -133,12 +133,12 @@
 	}
 }
 
-// Merge applies the state of a key that another VM sent. The board keeps its own value if that has
-// a higher rank, or the same rank and the board has known the key for longer.
-func (b *Board) Merge(now time.Duration, c Replica) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, known := b.lookup(now, c.Key)
+// Merge applies the state of a key that another VM sent. The store keeps its own value if that has
+// a higher rank, or the same rank and the store has known the key for longer.
+func (s *Store) Merge(now time.Duration, c Replica) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e, known := s.lookup(now, c.Key)
 	if e == nil {
 		return
 	}
@@ -151,10 +151,10 @@
 
 // Release ends a hold and keeps the key for r.Rest, or removes a key that isn't live if the
 // request never ran.
-func (b *Board) Release(now time.Duration, r Release) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, known := b.lookup(now, r.Key)
+func (s *Store) Release(now time.Duration, r Release) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e, known := s.lookup(now, r.Key)
 	if e == nil {
 		return
 	}
@@ -166,43 +166,43 @@
 		}
 		e.until = max(e.until, now+r.Rest)
 	case !known || !e.live(now):
-		delete(b.entries, r.Key)
+		delete(s.entries, r.Key)
 	}
 }
 
 // lookup returns the key's entry and whether it was known. It adds an entry for an unknown key, or
-// returns nil if the board is full. Callers hold b.mu.
-func (b *Board) lookup(now time.Duration, k Key) (e *entry, known bool) {
-	e = b.entries[k]
+// returns nil if the store is full. Callers hold s.mu.
+func (s *Store) lookup(now time.Duration, k Key) (e *entry, known bool) {
+	e = s.entries[k]
 	if e != nil && e.live(now) {
 		return e, true
 	}
-	if e == nil && len(b.entries) >= maxKeys {
+	if e == nil && len(s.entries) >= maxKeys {
 		return nil, false
 	}
 	e = &entry{since: now, holds: make(map[uint64]time.Duration)}
-	b.entries[k] = e
+	s.entries[k] = e
 	return e, false
 }
 
 // Sweep removes expired keys and returns how many are left.
-func (b *Board) Sweep(now time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for k, e := range b.entries {
+func (s *Store) Sweep(now time.Duration) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for k, e := range s.entries {
 		if !e.live(now) {
-			delete(b.entries, k)
+			delete(s.entries, k)
 		}
 	}
-	return len(b.entries)
+	return len(s.entries)
 }
 
 // Replicas returns the state of all live keys.
-func (b *Board) Replicas(now time.Duration) []Replica {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *Store) Replicas(now time.Duration) []Replica {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []Replica
-	for k, e := range b.entries {
+	for k, e := range s.entries {
 		if e.live(now) {
 			out = append(out, Replica{Key: k, Value: e.value, Rank: e.rank, Age: max(now-e.since, 1), Retention: e.end() - now})
 		}
--- a/fleet/tally/board.go
+++ b/fleet/tally/aggregator.go
@@ -56,9 +56,9 @@
 	State
 }
 
-// Board holds the states and outcomes that a keeper received. It is safe for concurrent use;
+// Aggregator holds the states and outcomes that a keeper received. It is safe for concurrent use;
 // methods take the current time.
-type Board struct {
+type Aggregator struct {
 	mu        sync.Mutex
 	reports   map[string]*row // by VM of this data centre
 	summaries map[string]*row // by keeper of another data centre
@@ -67,26 +67,26 @@
 	outcomes, remoteOutcomes outcomeRows
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board {
-	return &Board{
+// NewAggregator returns an empty aggregator.
+func NewAggregator() *Aggregator {
+	return &Aggregator{
 		reports: make(map[string]*row), summaries: make(map[string]*row),
 		outcomes: make(outcomeRows), remoteOutcomes: make(outcomeRows),
 	}
 }
 
 // RecordReport stores the state of a VM of this data centre, unless a later one is known.
-func (b *Board) RecordReport(now time.Duration, vm string, incarnation, sequence uint64, s State) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	storeRow(b.reports, now, vm, incarnation, sequence, s)
+func (a *Aggregator) RecordReport(now time.Duration, vm string, incarnation, sequence uint64, s State) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	storeRow(a.reports, now, vm, incarnation, sequence, s)
 }
 
 // RecordSummary stores another data centre's sums from its keeper, unless later ones are known.
-func (b *Board) RecordSummary(now time.Duration, keeper string, incarnation, sequence uint64, entries []Entry) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	storeRow(b.summaries, now, keeper, incarnation, sequence, State{Work: entries})
+func (a *Aggregator) RecordSummary(now time.Duration, keeper string, incarnation, sequence uint64, entries []Entry) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	storeRow(a.summaries, now, keeper, incarnation, sequence, State{Work: entries})
 }
 
 // storeRow stores a VM's state, unless a later one of the same incarnation is known.
@@ -98,29 +98,29 @@
 }
 
 // LocalSums returns the work of this data centre's VMs by endpoint.
-func (b *Board) LocalSums(now time.Duration) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (a *Aggregator) LocalSums(now time.Duration) []Entry {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	total := make(map[uint32]float32)
-	addWork(total, b.reports, now, reportTTL, "")
+	addWork(total, a.reports, now, reportTTL, "")
 	return largest(total)
 }
 
 // Totals returns the load of all VMs of all data centres but that of the VM except.
-func (b *Board) Totals(now time.Duration, except string) State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (a *Aggregator) Totals(now time.Duration, except string) State {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	total := make(map[uint32]float32)
-	addWork(total, b.reports, now, reportTTL, except)
-	addWork(total, b.summaries, now, summaryTTL, "")
-	return State{Work: largest(total), Avoided: b.avoided(except)}
+	addWork(total, a.reports, now, reportTTL, except)
+	addWork(total, a.summaries, now, summaryTTL, "")
+	return State{Work: largest(total), Avoided: a.avoided(except)}
 }
 
 // avoided returns the endpoints that at least minAvoidingVMs VMs other than except avoid.
-// Callers hold b.mu and have removed expired reports.
-func (b *Board) avoided(except string) []uint32 {
+// Callers hold a.mu and have removed expired reports.
+func (a *Aggregator) avoided(except string) []uint32 {
 	count := make(map[uint32]int)
-	for name, r := range b.reports {
+	for name, r := range a.reports {
 		if name == except {
 			continue
 		}
--- a/fleet/tally/doc.go
+++ b/fleet/tally/doc.go
@@ -24,5 +24,5 @@
 // Only the quality of a choice depends on this package: if a VM's keeper is silent, the VM
 // waits a few ms once, turns to the next keeper, and chooses by its own work under way.
 //
-// Lock order: Service.mu, Board.mu; none is held over the network.
+// Lock order: Service.mu, Aggregator.mu; none is held over the network.
 package tally
--- a/fleet/tally/outcomes.go
+++ b/fleet/tally/outcomes.go
@@ -76,12 +76,12 @@
 
 // RecordOutcomes stores a VM's outcomes, unless later ones are known; remote reports that they are
 // the sums of another data centre.
-func (b *Board) RecordOutcomes(now time.Duration, from string, incarnation, sequence uint64, list []Outcomes, remote bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	rows := b.outcomes
+func (a *Aggregator) RecordOutcomes(now time.Duration, from string, incarnation, sequence uint64, list []Outcomes, remote bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	rows := a.outcomes
 	if remote {
-		rows = b.remoteOutcomes
+		rows = a.remoteOutcomes
 	}
 	rows.store(now, from, incarnation, sequence, list)
 }
@@ -89,13 +89,13 @@
 // OutcomeSums returns the sums of the outcomes of this data centre, or of all data centres if
 // all is set. It leaves out endpoints without a failed attempt or another incarnation, and
 // returns at most maxOutcomes, those with the most failures first.
-func (b *Board) OutcomeSums(now time.Duration, all bool) []Outcomes {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (a *Aggregator) OutcomeSums(now time.Duration, all bool) []Outcomes {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	sums := make(map[uint32]Outcomes)
-	b.outcomes.addTo(sums, now)
+	a.outcomes.addTo(sums, now)
 	if all {
-		b.remoteOutcomes.addTo(sums, now)
+		a.remoteOutcomes.addTo(sums, now)
 	}
 	maps.DeleteFunc(sums, func(_ uint32, o Outcomes) bool { return o.Failed == 0 && !o.OtherLife })
 	list := slices.SortedFunc(maps.Values(sums), func(a, b Outcomes) int { return cmp.Compare(b.Failed, a.Failed) })
@@ -117,9 +117,9 @@
 		s.send(k, message{Kind: kindOutcomes, Sequence: seq, Outcomes: own})
 		return
 	}
-	s.board.RecordOutcomes(now, s.cfg.Self, s.incarnation, seq, own, false)
-	s.cfg.ApplyOutcomes(s.board.OutcomeSums(now, true))
-	sums := s.board.OutcomeSums(now, false)
+	s.aggregator.RecordOutcomes(now, s.cfg.Self, s.incarnation, seq, own, false)
+	s.cfg.ApplyOutcomes(s.aggregator.OutcomeSums(now, true))
+	sums := s.aggregator.OutcomeSums(now, false)
 	for _, other := range s.cfg.Others() {
 		s.send(other, message{Kind: kindOutcomeSums, Sequence: seq, Outcomes: sums})
 	}
@@ -129,10 +129,10 @@
 func (s *Service) handleOutcomes(now time.Duration, from string, m *message) {
 	switch m.Kind {
 	case kindOutcomes:
-		s.board.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
-		s.sendTo(from, message{Kind: kindFleetOutcomes, Sequence: s.sequence.Add(1), Outcomes: s.board.OutcomeSums(now, true)})
+		s.aggregator.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
+		s.sendTo(from, message{Kind: kindFleetOutcomes, Sequence: s.sequence.Add(1), Outcomes: s.aggregator.OutcomeSums(now, true)})
 	case kindOutcomeSums:
-		s.board.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, true)
+		s.aggregator.RecordOutcomes(now, m.From, m.Incarnation, m.Sequence, m.Outcomes, true)
 	case kindFleetOutcomes:
 		s.cfg.ApplyOutcomes(m.Outcomes)
 	}
--- a/fleet/tally/outcomes_test.go
+++ b/fleet/tally/outcomes_test.go
@@ -14,7 +14,7 @@
 // A single VM makes too few attempts at an endpoint to detect failures, so the outcomes of all
 // VMs and data centres must be summed.
 func TestOutcomesOfAllDataCentres(t *testing.T) {
-	b := NewBoard()
+	b := NewAggregator()
 	for vm := range 3 {
 		b.RecordOutcomes(0, fmt.Sprint("vm", vm), 1, 1, []Outcomes{NewOutcomes(1, 1, 2, false), NewOutcomes(2, 0, 1, false)}, false)
 	}
@@ -29,7 +29,7 @@
 // With 2,000 endpoints, the outcomes must fit one datagram and contain the endpoints with the
 // most failures.
 func TestOutcomesFitADatagram(t *testing.T) {
-	b := NewBoard()
+	b := NewAggregator()
 	var list []Outcomes
 	for i := range 2000 {
 		list = append(list, NewOutcomes(Mark(fmt.Sprint(i)), float64(100+i)/10, 300, false))
--- a/fleet/tally/service.go
+++ b/fleet/tally/service.go
@@ -89,7 +89,7 @@
 type Service struct {
 	cfg         Config
 	socket      *datagram.Socket
-	board       *Board
+	aggregator  *Aggregator
 	incarnation uint64
 	sequence    atomic.Uint64
 	asks        *prometheus.CounterVec
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	s := &Service{
-		cfg: cfg, socket: socket, board: NewBoard(), incarnation: rand.Uint64(),
+		cfg: cfg, socket: socket, aggregator: NewAggregator(), incarnation: rand.Uint64(),
 		waiting: make(map[uint64]chan struct{}), backoffUntil: make(map[string]time.Duration),
 		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_tally_asks_total", Help: "Queries for the load of the fleet before a choice, by result.",
@@ -167,7 +167,7 @@
 	}
 	if k.Name == s.cfg.Self {
 		s.asks.WithLabelValues("own").Inc()
-		s.cfg.Apply(s.board.Totals(s.cfg.Clock(), s.cfg.Self))
+		s.cfg.Apply(s.aggregator.Totals(s.cfg.Clock(), s.cfg.Self))
 		return
 	}
 	id := s.sequence.Add(1)
@@ -205,7 +205,7 @@
 	seq := s.sequence.Add(1)
 	state := s.cfg.State()
 	if k.Name == s.cfg.Self {
-		s.board.RecordReport(s.cfg.Clock(), s.cfg.Self, s.incarnation, seq, state)
+		s.aggregator.RecordReport(s.cfg.Clock(), s.cfg.Self, s.incarnation, seq, state)
 		return
 	}
 	s.send(k, message{Kind: kindReport, Sequence: seq, State: state})
@@ -218,7 +218,7 @@
 	if !ok || k.Name != s.cfg.Self {
 		return
 	}
-	sums := s.board.LocalSums(s.cfg.Clock())
+	sums := s.aggregator.LocalSums(s.cfg.Clock())
 	seq := s.sequence.Add(1)
 	for _, other := range s.cfg.Others() {
 		s.send(other, message{Kind: kindSummary, Sequence: seq, State: State{Work: sums}})
@@ -251,14 +251,14 @@
 	now := s.cfg.Clock()
 	switch m.Kind {
 	case kindReport:
-		s.board.RecordReport(now, m.From, m.Incarnation, m.Sequence, m.State)
+		s.aggregator.RecordReport(now, m.From, m.Incarnation, m.Sequence, m.State)
 		if m.RequestID != 0 {
-			s.sendTo(from, message{Kind: kindTotals, RequestID: m.RequestID, State: s.board.Totals(now, m.From)})
+			s.sendTo(from, message{Kind: kindTotals, RequestID: m.RequestID, State: s.aggregator.Totals(now, m.From)})
 		}
 	case kindTotals:
 		s.handleTotals(m)
 	case kindSummary:
-		s.board.RecordSummary(now, m.From, m.Incarnation, m.Sequence, m.State.Work)
+		s.aggregator.RecordSummary(now, m.From, m.Incarnation, m.Sequence, m.State.Work)
 	case kindOutcomes, kindOutcomeSums, kindFleetOutcomes:
 		s.handleOutcomes(now, from, m)
 	}
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -31,7 +31,7 @@
 // The totals for a VM must leave out its own report. A reordered report must not replace a later
 // one, and a silent VM's report must expire, or its engines would look busy and stay unused.
 func TestBoard(t *testing.T) {
-	b := NewBoard()
+	b := NewAggregator()
 	b.RecordReport(0, "a", 1, 5, State{Work: []Entry{{Endpoint: 1, Work: 2}}})
 	b.RecordReport(0, "b", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 3}, {Endpoint: 2, Work: 1}}})
 	b.RecordSummary(0, "far", 1, 1, []Entry{{Endpoint: 2, Work: 4}})
@@ -48,7 +48,7 @@
 // A VM that is partitioned from an endpoint avoids it. The other VMs, which the endpoint serves
 // well, must not avoid it until a second VM does.
 func TestOneVMAloneEmptiesNoEndpoint(t *testing.T) {
-	b := NewBoard()
+	b := NewAggregator()
 	b.RecordReport(0, "a", 1, 1, State{Avoided: []uint32{7}})
 	require.Empty(t, b.Totals(0, "c").Avoided)
 	b.RecordReport(0, "b", 1, 1, State{Avoided: []uint32{7, 8}})
@@ -59,7 +59,7 @@
 // With 2,000 endpoints, the answer must fit one datagram and contain the endpoints with the most
 // work.
 func TestAnswerFitsADatagram(t *testing.T) {
-	b := NewBoard()
+	b := NewAggregator()
 	for vm := range 20 {
 		var s State
 		for i := range 100 {
@@ -178,14 +178,14 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m message
 		if cbor.Unmarshal(b, &m) == nil {
-			board := NewBoard()
-			board.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
-			board.RecordOutcomes(0, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
-			for _, o := range board.OutcomeSums(0, true) {
+			aggregator := NewAggregator()
+			aggregator.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
+			aggregator.RecordOutcomes(0, m.From, m.Incarnation, m.Sequence, m.Outcomes, false)
+			for _, o := range aggregator.OutcomeSums(0, true) {
 				require.LessOrEqual(t, o.Failed, o.Runs)
 			}
-			board.RecordReport(0, "own", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 1}}})
-			totals := board.Totals(0, "").Work
+			aggregator.RecordReport(0, "own", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 1}}})
+			totals := aggregator.Totals(0, "").Work
 			require.LessOrEqual(t, len(totals), maxEntries)
 			for _, e := range totals {
 				require.Greater(t, e.Work, float32(0))
@@ -198,7 +198,7 @@
 // with eight prompts under way, and 105 endpoints. It includes decoding and encoding, but not
 // the network.
 func BenchmarkKeeper(b *testing.B) {
-	board := NewBoard()
+	aggregator := NewAggregator()
 	state := func(vm int) (s State) {
 		for i := range 8 {
 			s.Work = append(s.Work, Entry{Endpoint: Mark(fmt.Sprint("endpoint", (vm*8+i)%105)), Work: float32(i) + 1})
@@ -206,7 +206,7 @@
 		return s
 	}
 	for vm := range 21 {
-		board.RecordReport(0, fmt.Sprint("vm", vm), 1, 1, state(vm))
+		aggregator.RecordReport(0, fmt.Sprint("vm", vm), 1, 1, state(vm))
 	}
 	ask, err := cbor.Marshal(&message{Kind: kindReport, From: "front-norte-a-12", Incarnation: 1 << 63, Sequence: 1 << 20, RequestID: 1 << 20, State: state(3)})
 	require.NoError(b, err)
@@ -215,8 +215,8 @@
 	for b.Loop() {
 		var m message
 		require.NoError(b, cbor.Unmarshal(ask, &m))
-		board.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
-		answer, err = cbor.Marshal(&message{Kind: kindTotals, From: "front-norte-a-1", Incarnation: 1 << 63, RequestID: m.RequestID, State: board.Totals(0, m.From)})
+		aggregator.RecordReport(0, m.From, m.Incarnation, m.Sequence, m.State)
+		answer, err = cbor.Marshal(&message{Kind: kindTotals, From: "front-norte-a-1", Incarnation: 1 << 63, RequestID: m.RequestID, State: aggregator.Totals(0, m.From)})
 		require.NoError(b, err)
 	}
 	b.ReportMetric(float64(len(ask)), "ask-B")
