--- a/fleet/slot/follow.go
+++ b/fleet/slot/follow.go
@@ -16,33 +16,37 @@
 )
 
 const (
-	// downAfter is how long a VM must be down before it is taken out of the epoch.
-	// 60 s: regions lose each other for minutes, several times a year, and a VM that
-	// only pauses should find its slots as it left them.
-	downAfter = time.Minute
-	// listLimit is the age of a list beyond which absence from it says nothing.
-	listLimit = time.Minute
-	// readsPerLife is the number of reads in the life of evidence, so that two may fail.
-	readsPerLife = 3
-	// outageInterval is the time between two rounds while the platform can't be
-	// read. 4 s: below the 5 s after which the peer link drops a silent connection; a
-	// call over a new one takes 6 KB and 2 ms (BenchmarkFirstCall in package peer).
+	// removalDelay is how long a VM must be down before it is removed from the epoch.
+	// Regions lose contact with each other for minutes, several times a year, and a VM
+	// that was only paused should find its slots unchanged.
+	removalDelay = time.Minute
+	// maxListAge is the age of a platform list beyond which a VM's absence from it
+	// proves nothing.
+	maxListAge = time.Minute
+	// readsPerEvidence is the number of epoch reads while evidence is valid, so that
+	// two of them may fail.
+	readsPerEvidence = 3
+	// outageInterval is the time between two rounds while the platform can't be read.
+	// It is below the 5 s after which the peer link drops an idle connection, since a
+	// call over a new connection takes 6 KB and 2 ms (BenchmarkFirstCall in package
+	// peer).
 	outageInterval = 4 * time.Second
-	// confirmLimit is the largest epoch that is kept by confirmation. 32: every
-	// member asks every other, which makes 13.5 calls a second a VM at 28 members
-	// (BenchmarkOutage); at 400 it would be 200, far more than control may take.
-	confirmLimit = 32
-	// maxConfirms bounds the calls of one confirmation under way at a time.
+	// maxConfirmMembers is the largest epoch whose evidence is renewed by confirmation.
+	// Every member calls every other, which makes 13.5 calls a second per VM at 28
+	// members (BenchmarkOutage); at 400 members it would be 200, far above the budget
+	// for control traffic.
+	maxConfirmMembers = 32
+	// maxConfirms bounds the concurrent calls of one confirmation.
 	maxConfirms = 32
 )
 
-// epochKey is the epoch's object.
+// epochKey is the platform key of the epoch object.
 var epochKey = durable.Key{Kind: "fleet", Name: "epoch"}
 
-// Run keeps the epoch and the evidence until the context ends.
+// Run keeps the epoch and its evidence up to date until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for {
-		wait := s.o.Params.Evidence / readsPerLife
+		wait := s.o.Params.Evidence / readsPerEvidence
 		if !s.round(ctx) {
 			wait = min(wait, outageInterval)
 		}
@@ -54,15 +58,16 @@
 	}
 }
 
-// round reads the epoch, or has it confirmed while the platform is away, and
-// proposes the next one if it is this VM's turn. It says whether the platform answered.
+// round reads the epoch and proposes the next one if it is this VM's turn. While the
+// platform is unavailable it asks the other members to confirm the epoch instead. It
+// reports whether the platform answered.
 func (s *Service) round(ctx context.Context) bool {
 	if err := s.read(ctx); err != nil {
-		s.metrics.epochs.WithLabelValues("read", "failed").Inc()
+		s.metrics.epochCalls.WithLabelValues("read", "failed").Inc()
 		s.confirmAll(ctx)
 		return false
 	}
-	s.metrics.epochs.WithLabelValues("read", "ok").Inc()
+	s.metrics.epochCalls.WithLabelValues("read", "ok").Inc()
 	now := time.Now()
 	if !s.o.Membership.Fresh(now) {
 		return true
@@ -70,20 +75,20 @@
 	members := s.o.Membership.Members(now)
 	s.mu.Lock()
 	draining, epoch := s.draining, s.table.epoch
-	wanted := s.wanted(epoch, members, draining)
-	s.differs++
+	wanted := s.nextMembers(epoch, members, draining)
+	s.roundsDiffering++
 	if slices.Equal(wanted, epoch.Members) {
-		s.differs = 0
+		s.roundsDiffering = 0
 	}
-	turn := s.differs > s.rank(epoch, members)
+	myTurn := s.roundsDiffering > s.proposalRank(epoch, members)
 	s.mu.Unlock()
-	if turn && len(wanted) > 0 {
-		s.propose(ctx, wanted, s.goneBy(now, members))
+	if myTurn && len(wanted) > 0 {
+		s.propose(ctx, wanted, s.goneFunc(now, members))
 	}
 	return true
 }
 
-// read takes the epoch from the platform. No object yet is no failure.
+// read fetches the epoch from the platform. A missing object is not an error.
 func (s *Service) read(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
@@ -98,6 +103,8 @@
 	return s.observe(asked, o)
 }
 
+// observe decodes an epoch object and applies it to the table. asked is when the read
+// or write that returned it began.
 func (s *Service) observe(asked time.Time, o durable.Object) error {
 	e, err := DecodeEpoch(o.Value)
 	if err != nil {
@@ -113,16 +120,16 @@
 	return nil
 }
 
-// wanted are the members that the next epoch should have: those of the newest but
-// for the ones that leave or are gone, and the VMs that are alive.
-func (s *Service) wanted(epoch Epoch, members []member.Member, draining bool) []Process {
+// nextMembers returns the members that the next epoch should have: all VMs that are
+// alive, and the current members except those that leave or are gone.
+func (s *Service) nextMembers(epoch Epoch, members []member.Member, draining bool) []Process {
 	var all []Process
 	if !draining {
 		all = append(all, s.table.self)
 	}
 	for _, m := range members {
 		p := Process{ID: m.ID, Incarnation: m.Incarnation}
-		stays := slices.Contains(epoch.Members, p) && m.State != member.Left && (m.State != member.Down || m.Age < downAfter)
+		stays := slices.Contains(epoch.Members, p) && m.State != member.Left && (m.State != member.Down || m.Age < removalDelay)
 		if !m.Leaving && (m.State == member.Alive || stays) {
 			all = append(all, p)
 		}
@@ -131,9 +138,10 @@
 	return all
 }
 
-// rank is how many rounds this VM leaves the proposal to others. All could
-// propose, and the conditional write would let one through; the rank only saves writes.
-func (s *Service) rank(epoch Epoch, members []member.Member) int {
+// proposalRank returns the number of rounds that this VM waits for others to propose.
+// Every VM could propose at once and the conditional write would admit one; the rank
+// only saves writes.
+func (s *Service) proposalRank(epoch Epoch, members []member.Member) int {
 	ids := []string{s.table.self.ID}
 	for _, m := range members {
 		p := Process{ID: m.ID, Incarnation: m.Incarnation}
@@ -144,19 +152,20 @@
 	return slices.Index(rendezvous.Rank("propose", ids), s.table.self.ID)
 }
 
-// goneBy tells whether a process has ended for good: it said so, a later process
-// runs on its VM, or the VM is off a recent list and silent. A VM that is only
-// down may be on the other side of a cut.
-func (s *Service) goneBy(now time.Time, members []member.Member) func(Process) bool {
+// goneFunc returns a predicate that reports whether a process has ended for good: it
+// announced its end, a later process runs on its VM, or the VM is absent from a recent
+// list and silent. A VM that is only down may be on the other side of a network
+// partition.
+func (s *Service) goneFunc(now time.Time, members []member.Member) func(Process) bool {
 	age, read := s.o.Membership.ListAge(now)
-	recent := read && age <= listLimit
+	recent := read && age <= maxListAge
 	byID := make(map[string]member.Member, len(members))
 	for _, m := range members {
 		byID[m.ID] = m
 	}
 	return func(p Process) bool {
 		if p.ID == s.table.self.ID {
-			// One process at a time can hold this VM's peer address.
+			// Only one process at a time can hold this VM's peer address.
 			return p != s.table.self
 		}
 		m, known := byID[p.ID]
@@ -170,6 +179,8 @@
 	}
 }
 
+// propose writes the next epoch with the wanted members, if this process may propose
+// one.
 func (s *Service) propose(ctx context.Context, wanted []Process, gone func(Process) bool) {
 	s.mu.Lock()
 	next, version, ok := s.table.Propose(wanted, gone)
@@ -188,7 +199,8 @@
 	s.settleProposal(asked, o, err)
 }
 
-// settleProposal takes the write's outcome. Only a refusal that is certain lets this process confirm again.
+// settleProposal applies the outcome of a write. This process confirms the old epoch
+// again only after a write that certainly failed.
 func (s *Service) settleProposal(asked time.Time, o durable.Object, err error) {
 	var conflict *durable.ConflictError
 	result := "ok"
@@ -209,47 +221,50 @@
 		s.table.ProposalUnknown()
 		s.mu.Unlock()
 	}
-	s.metrics.epochs.WithLabelValues("write", result).Inc()
+	s.metrics.epochCalls.WithLabelValues("write", result).Inc()
 	if err != nil {
 		s.o.Log.Warn().Err(err).Msg("membership epoch not written")
 	}
 }
 
-// confirmAll asks every other member of the epoch, while the platform is away.
-// One that can't be asked is one too many: it might have written the next epoch.
+// confirmAll renews the evidence during a platform outage by asking every other member
+// of the epoch. A single member that can't be asked makes it fail, since that member
+// might have written the next epoch.
 func (s *Service) confirmAll(ctx context.Context) {
 	s.mu.Lock()
 	epoch, self := s.table.epoch, s.table.self
 	s.mu.Unlock()
-	if len(epoch.Members) > confirmLimit || !slices.Contains(epoch.Members, self) {
+	if len(epoch.Members) > maxConfirmMembers || !slices.Contains(epoch.Members, self) {
 		return
 	}
-	var asks []Ask
+	var sources []Source
 	for _, p := range epoch.Members {
 		if p != self {
-			asks = append(asks, Ask{Process: p})
+			sources = append(sources, Source{Process: p})
 		}
 	}
 	asked := time.Now()
-	targets := s.targets(asks)
-	if len(targets) == len(asks) && s.allConfirm(ctx, targets, epoch.Number) {
+	targets := s.targets(sources)
+	if len(targets) == len(sources) && s.allConfirm(ctx, targets, epoch.Number) {
 		s.mu.Lock()
-		s.table.Confirmed(asked, epoch.Number)
+		s.table.RecordConfirmation(asked, epoch.Number)
 		s.mu.Unlock()
-		s.metrics.epochs.WithLabelValues("confirm", "ok").Inc()
+		s.metrics.epochCalls.WithLabelValues("confirm", "ok").Inc()
 		return
 	}
-	s.metrics.epochs.WithLabelValues("confirm", "failed").Inc()
+	s.metrics.epochCalls.WithLabelValues("confirm", "failed").Inc()
 }
 
+// allConfirm asks all targets in parallel and reports whether each of them confirmed
+// the epoch.
 func (s *Service) allConfirm(ctx context.Context, targets map[Process]peer.Target, number uint64) bool {
 	var calls sync.WaitGroup
-	places := make(chan struct{}, maxConfirms)
+	semaphore := make(chan struct{}, maxConfirms)
 	results := make(chan bool, len(targets))
 	for p, to := range targets {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		calls.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			results <- s.call(ctx, to, methodConfirm, confirmRequest{Member: p, Number: number})
 		})
 	}
@@ -262,12 +277,13 @@
 	return all
 }
 
-// sample picks whom to ask: an order of this process's own for each endpoint, so
-// that many VMs in want of one endpoint don't all ask the same one first.
-func sample(asks []Ask, self Process, endpoint string, n int) []Ask {
-	ranked := rendezvous.RankBy(self.key()+"/"+endpoint, asks, func(a Ask) string {
+// selectSources returns up to n sources to try, handovers first. The order depends on
+// this process and the endpoint, so that many VMs that need one endpoint don't all ask
+// the same holder first.
+func selectSources(sources []Source, self Process, endpoint string, n int) []Source {
+	ranked := rendezvous.RankBy(self.key()+"/"+endpoint, sources, func(a Source) string {
 		return a.Process.key() + "/" + slotKey{index: a.Index}.String()
 	})
-	slices.SortStableFunc(ranked, func(a, b Ask) int { return int(b.Kind) - int(a.Kind) })
+	slices.SortStableFunc(ranked, func(a, b Source) int { return int(b.Kind) - int(a.Kind) })
 	return ranked[:min(n, len(ranked))]
 }
--- a/fleet/slot/message.go
+++ b/fleet/slot/message.go
@@ -15,14 +15,14 @@
 	methodConfirm  = "slot.confirm"
 )
 
-// maxLimit bounds a cold limit in a message: far above what an endpoint bears
-// cold, and low enough that a wrong one can't keep a VM busy.
+// maxLimit bounds a cold limit in a message: far above any real cold limit, and low
+// enough that a wrong value can't keep a VM busy.
 const maxLimit = 1024
 
-// maxEndpoint bounds an endpoint's name in a message, in bytes.
+// maxEndpoint bounds an endpoint name in a message, in bytes.
 const maxEndpoint = 256
 
-// lendRequest asks for an idle slot; the answer is a yes or no.
+// lendRequest asks for an idle slot; the reply is yes or no.
 type lendRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
@@ -30,13 +30,13 @@
 	Loan     LoanID
 }
 
-// returnRequest gives a loan back, or tells that its grant never came.
+// returnRequest returns a loan, or reports that its grant did not arrive.
 type returnRequest struct {
 	_    struct{} `cbor:",toarray"`
 	Loan LoanID
 }
 
-// handOverRequest asks whether a slot gained with Epoch is free.
+// handOverRequest asks whether the slot that the sender gained with Epoch is free.
 type handOverRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
@@ -44,7 +44,7 @@
 	Epoch    uint64
 }
 
-// confirmRequest asks a member whether the epoch is the newest known to it.
+// confirmRequest asks a member whether the epoch is the newest that it knows.
 type confirmRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Member Process
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// decode reads a request and checks its bounds.
+// decode decodes a request and checks its bounds.
 func decode[T interface{ check() error }](data []byte) (T, error) {
 	var r T
 	if err := cbor.Unmarshal(data, &r); err != nil {
@@ -92,6 +92,7 @@
 
 var yes, no = []byte{1}, []byte{0}
 
+// answer encodes a boolean reply.
 func answer(ok bool) []byte {
 	if ok {
 		return yes
@@ -99,4 +100,5 @@
 	return no
 }
 
-func isYes(data []byte) bool { return len(data) == 1 && data[0] == yes[0] }
+// isAccepted reports whether a reply is yes.
+func isAccepted(data []byte) bool { return len(data) == 1 && data[0] == yes[0] }
--- a/fleet/slot/model_test.go
+++ b/fleet/slot/model_test.go
@@ -10,25 +10,26 @@
 	"goldcrestfork/fleet/rendezvous"
 )
 
-// model runs a few processes, one platform object and some endpoints under
-// stepped time, with clocks that differ and everything that can go wrong drawn
-// from one seed. It judges by what the endpoints bear.
+// model simulates a few processes, one platform object and some endpoints under stepped
+// time. The clocks differ, and all faults are drawn from one seed. It counts the starts
+// above the endpoints' limits.
 type model struct {
-	random   *rand.Rand
-	params   Params
-	policy   policy
-	faults   faults
-	now      time.Duration
-	queue    []event
-	seq      int
-	procs    []*proc
-	cut      map[[2]string]bool
-	limit    int
-	running  map[string]int
-	started  int
-	overshot int
-	reports  map[string]int
-	// last is each endpoint's last start; stalled is the longest time without one.
+	random      *rand.Rand
+	params      Params
+	policy      policy
+	faults      faults
+	now         time.Duration
+	queue       []event
+	seq         int
+	procs       []*proc
+	partitioned map[[2]string]bool
+	limit       int
+	running     map[string]int
+	started     int
+	overshot    int
+	reports     map[string]int
+	// last holds each endpoint's last start; stalled is the longest time between two
+	// starts.
 	last    map[string]time.Duration
 	stalled time.Duration
 	object  Epoch
@@ -36,22 +37,23 @@
 	storeUp bool
 }
 
-// policy is a way to share slots; exact is the one in use.
+// policy is a way to share slots; exact is the one in production.
 type policy uint8
 
 const (
 	exact       policy = iota
-	oneOwner           // the preferred VM of one's own view has the whole endpoint, others forward to it
-	leasedOwner        // the same by epoch, evidence and wait; others forward to the holder
-	evenShare          // each VM takes the limit divided by the VMs, rounded up
-	evenFloor          // the same, rounded down
-	optimistic         // anyone sends while the last load report shows room
+	oneOwner           // the preferred VM in the sender's own view owns the whole endpoint; others forward to it
+	leasedOwner        // like oneOwner, with the owner fixed by epoch, evidence and wait
+	evenShare          // each VM takes the limit divided by the number of VMs, rounded up
+	evenFloor          // like evenShare, rounded down
+	optimistic         // every VM sends while the last load report shows free capacity
 )
 
-// faults are chances a second, for each process or pair.
+// faults holds the probability per second of each fault, per process or pair of
+// processes.
 type faults struct {
-	crash, freeze, cut, outage, change, loss float64
-	// latency is the longest way of a message.
+	crash, pause, partition, outage, change, loss float64
+	// latency is the largest delay of a message.
 	latency time.Duration
 }
 
@@ -61,17 +63,17 @@
 	run func()
 }
 
-// proc is one VM; its process changes at a restart.
+// proc is one VM; a restart replaces its process.
 type proc struct {
-	id     string
-	table  *Table
-	life   int
-	offset time.Duration
-	drift  float64
-	frozen time.Duration
-	deaf   time.Duration  // the platform doesn't answer it until then
-	local  map[string]int // requests of the policies without a table
-	view   []string
+	id            string
+	table         *Table
+	incarnation   int
+	offset        time.Duration
+	drift         float64
+	pausedUntil   time.Duration
+	storeCutUntil time.Duration  // the platform doesn't answer this VM before this time
+	local         map[string]int // requests under way, for the policies without a table
+	view          []string
 }
 
 const modelStep = 250 * time.Millisecond
@@ -81,7 +83,7 @@
 func newModel(seed uint64, p policy, f faults, procs, limit int) *model {
 	m := &model{
 		random: rand.New(rand.NewPCG(seed, 1)), params: modelParams, policy: p, faults: f, limit: limit,
-		cut: map[[2]string]bool{}, running: map[string]int{}, reports: map[string]int{}, last: map[string]time.Duration{}, storeUp: true,
+		partitioned: map[[2]string]bool{}, running: map[string]int{}, reports: map[string]int{}, last: map[string]time.Duration{}, storeUp: true,
 	}
 	for i := range procs {
 		m.procs = append(m.procs, &proc{id: fmt.Sprintf("vm-%d", i), offset: time.Duration(m.random.Int64N(int64(time.Hour))), drift: m.random.Float64()*0.002 - 0.001})
@@ -91,12 +93,12 @@
 }
 
 func (m *model) restart(p *proc) {
-	p.life++
+	p.incarnation++
 	p.local = map[string]int{}
-	p.table = NewTable(Process{ID: p.id, Incarnation: uint64(p.life)}, m.params)
+	p.table = NewTable(Process{ID: p.id, Incarnation: uint64(p.incarnation)}, m.params)
 }
 
-// clock is the process's own; it has nothing to do with another's.
+// clock returns the process's own time, which is unrelated to that of the others.
 func (m *model) clock(p *proc) time.Time {
 	return time.Unix(1, 0).Add(p.offset + m.now + time.Duration(float64(m.now)*p.drift))
 }
@@ -105,7 +107,7 @@
 	return m.random.Float64() < aSecond*modelStep.Seconds()
 }
 
-func (m *model) upTo(d time.Duration) time.Duration {
+func (m *model) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(d) + 1))
 }
 
@@ -114,15 +116,16 @@
 	m.queue = append(m.queue, event{at: m.now + d, seq: m.seq, run: run})
 }
 
-// onProc runs something in the process as it is now: never after a restart, and only when it isn't frozen.
+// onProc runs run in the current process of p: never after a restart, and delayed while
+// p is paused.
 func (m *model) onProc(d time.Duration, p *proc, run func()) {
-	life := p.life
+	life := p.incarnation
 	var try func()
 	try = func() {
 		switch {
-		case p.life != life:
-		case p.frozen > m.now:
-			m.after(p.frozen-m.now, try)
+		case p.incarnation != life:
+		case p.pausedUntil > m.now:
+			m.after(p.pausedUntil-m.now, try)
 		default:
 			run()
 		}
@@ -130,12 +133,12 @@
 	m.after(d, try)
 }
 
-// send carries a message from one process to another, late or never.
+// send delivers a message from one process to another, late or never.
 func (m *model) send(from, to *proc, run func()) {
-	if m.cut[[2]string{from.id, to.id}] || m.random.Float64() < m.faults.loss {
+	if m.partitioned[[2]string{from.id, to.id}] || m.random.Float64() < m.faults.loss {
 		return
 	}
-	m.onProc(m.upTo(m.faults.latency), to, run)
+	m.onProc(m.randomUpTo(m.faults.latency), to, run)
 }
 
 func (m *model) run(until time.Duration) {
@@ -148,16 +151,16 @@
 			e.run()
 		}
 		m.now = next
-		m.breakThings()
+		m.injectFaults()
 		for _, p := range m.procs {
-			if p.frozen <= m.now {
-				m.act(p)
+			if p.pausedUntil <= m.now {
+				m.step(p)
 			}
 		}
 	}
 }
 
-// due is the next event before a time, -1 without any.
+// due returns the index of the next event up to a time, or -1.
 func (m *model) due(before time.Duration) int {
 	best := -1
 	for i, e := range m.queue {
@@ -168,28 +171,28 @@
 	return best
 }
 
-func (m *model) breakThings() {
+func (m *model) injectFaults() {
 	for _, p := range m.procs {
 		if m.chance(m.faults.crash) {
 			m.restart(p)
 		}
-		if m.chance(m.faults.freeze) {
-			p.frozen = m.now + m.upTo(20*time.Second)
+		if m.chance(m.faults.pause) {
+			p.pausedUntil = m.now + m.randomUpTo(20*time.Second)
 		}
-		if m.chance(m.faults.cut) {
-			p.deaf = m.now + m.upTo(30*time.Second)
+		if m.chance(m.faults.partition) {
+			p.storeCutUntil = m.now + m.randomUpTo(30*time.Second)
 		}
 		for _, q := range m.procs {
-			if m.chance(m.faults.cut) {
+			if m.chance(m.faults.partition) {
 				way := [2]string{p.id, q.id}
-				m.cut[way] = true
-				m.after(m.upTo(20*time.Second), func() { m.cut[way] = false })
+				m.partitioned[way] = true
+				m.after(m.randomUpTo(20*time.Second), func() { m.partitioned[way] = false })
 			}
 		}
 	}
 	if m.storeUp && m.chance(m.faults.outage) {
 		m.storeUp = false
-		m.after(m.upTo(40*time.Second), func() { m.storeUp = true })
+		m.after(m.randomUpTo(40*time.Second), func() { m.storeUp = true })
 	}
 	if m.now%(2*time.Second) == 0 {
 		m.reports = map[string]int{}
@@ -199,7 +202,7 @@
 	}
 }
 
-func (m *model) act(p *proc) {
+func (m *model) step(p *proc) {
 	if m.policy == exact || m.policy == leasedOwner {
 		if m.chance(0.7) {
 			m.read(p)
@@ -211,18 +214,19 @@
 			m.propose(p)
 		}
 	} else if m.chance(0.2) || p.view == nil {
-		m.look(p)
+		m.refreshView(p)
 	}
 	if m.chance(2) {
-		m.want(p, fmt.Sprintf("endpoint-%d", m.random.IntN(2)))
+		m.requestSlot(p, fmt.Sprintf("endpoint-%d", m.random.IntN(2)))
 	}
 }
 
-// look refreshes a process's own view: others that it is cut from, or that are frozen, are missing.
-func (m *model) look(p *proc) {
+// refreshView updates a process's own view, which lacks the VMs that are paused or
+// partitioned from it.
+func (m *model) refreshView(p *proc) {
 	p.view = []string{p.id}
 	for _, q := range m.procs {
-		if q != p && q.frozen <= m.now && !m.cut[[2]string{q.id, p.id}] {
+		if q != p && q.pausedUntil <= m.now && !m.partitioned[[2]string{q.id, p.id}] {
 			p.view = append(p.view, q.id)
 		}
 	}
@@ -230,18 +234,18 @@
 
 func (m *model) read(p *proc) {
 	asked := m.clock(p)
-	if !m.storeUp || p.deaf > m.now || m.random.Float64() < m.faults.loss {
+	if !m.storeUp || p.storeCutUntil > m.now || m.random.Float64() < m.faults.loss {
 		return
 	}
-	m.after(m.upTo(time.Second), func() {
+	m.after(m.randomUpTo(time.Second), func() {
 		e, v := m.object, m.version
 		if v > 0 {
-			m.onProc(m.upTo(3*time.Second), p, func() { p.table.Observe(m.clock(p), asked, e, v) })
+			m.onProc(m.randomUpTo(3*time.Second), p, func() { p.table.Observe(m.clock(p), asked, e, v) })
 		}
 	})
 }
 
-// missing says that this process, or a restarted one, is not in the epoch yet.
+// missing reports whether the current process of some VM is not in the epoch yet.
 func (m *model) missing(p *proc) bool {
 	e, _ := p.table.Epoch()
 	for _, q := range m.procs {
@@ -270,61 +274,61 @@
 		return
 	}
 	p.table.ProposalUnknown()
-	m.after(m.upTo(3*time.Second), func() {
+	m.after(m.randomUpTo(3*time.Second), func() {
 		if m.version != version {
 			return
 		}
 		m.object, m.version = next, m.version+1
 		v := m.version
 		if m.random.Float64() > m.faults.loss*3 {
-			m.onProc(m.upTo(time.Second), p, func() { p.table.Observe(m.clock(p), asked, next, v) })
+			m.onProc(m.randomUpTo(time.Second), p, func() { p.table.Observe(m.clock(p), asked, next, v) })
 		}
 	})
 }
 
-func (m *model) gone(who Process) bool {
-	return !slices.ContainsFunc(m.procs, func(p *proc) bool { return p.table.self == who })
+func (m *model) gone(process Process) bool {
+	return !slices.ContainsFunc(m.procs, func(p *proc) bool { return p.table.self == process })
 }
 
-func (m *model) find(who Process) *proc {
+func (m *model) findProc(process Process) *proc {
 	for _, p := range m.procs {
-		if p.table.self == who {
+		if p.table.self == process {
 			return p
 		}
 	}
 	return nil
 }
 
-// confirm asks all other members, as in an outage.
+// confirm asks all other members, as a process does during an outage.
 func (m *model) confirm(p *proc) {
 	e, _ := p.table.Epoch()
 	asked, missing := m.clock(p), len(e.Members)
 	yes := func() {
 		if missing--; missing == 0 {
-			p.table.Confirmed(asked, e.Number)
+			p.table.RecordConfirmation(asked, e.Number)
 		}
 	}
-	for _, who := range e.Members {
-		if who == p.table.self {
+	for _, other := range e.Members {
+		if other == p.table.self {
 			yes()
 			continue
 		}
-		// The message goes to the VM; the process there may be another by now.
-		q := m.procs[slices.IndexFunc(m.procs, func(q *proc) bool { return q.id == who.ID })]
+		// The message goes to the VM, which may have been restarted since.
+		q := m.procs[slices.IndexFunc(m.procs, func(q *proc) bool { return q.id == other.ID })]
 		m.send(p, q, func() {
-			if q.table.Confirm(who, e.Number) {
+			if q.table.Confirm(other, e.Number) {
 				m.send(q, p, yes)
 			}
 		})
 	}
 }
 
-func (m *model) want(p *proc, endpoint string) {
+func (m *model) requestSlot(p *proc, endpoint string) {
 	switch m.policy {
 	case exact:
-		m.wantExact(p, endpoint)
+		m.requestExact(p, endpoint)
 	case leasedOwner:
-		m.wantLeased(p, endpoint)
+		m.requestLeased(p, endpoint)
 	case oneOwner:
 		owner := rendezvous.Best(endpoint, p.view)
 		for _, q := range m.procs {
@@ -348,52 +352,53 @@
 		return
 	}
 	p.local[endpoint]++
-	life := p.life
-	m.after(m.upTo(m.faults.latency)+m.upTo(m.flight()), func() {
+	life := p.incarnation
+	m.after(m.randomUpTo(m.faults.latency)+m.randomUpTo(m.maxFlight()), func() {
 		m.job(endpoint, func() {
-			if p.life == life {
+			if p.incarnation == life {
 				p.local[endpoint]--
 			}
 		})
 	})
 }
 
-// wantLeased forwards to the holder of the endpoint, which runs it while its evidence holds.
-func (m *model) wantLeased(p *proc, endpoint string) {
+// requestLeased forwards to the holder of the endpoint, which runs the request while
+// its evidence is valid.
+func (m *model) requestLeased(p *proc, endpoint string) {
 	k := slotKey{endpoint: endpoint}
 	holder, _ := p.table.holder(k)
-	if q := m.find(holder); q != nil {
+	if q := m.findProc(holder); q != nil {
 		m.send(p, q, func() {
 			held, ok := q.table.tenureAt(k, q.table.epoch.Number)
-			if ok && q.table.Valid(m.clock(q)) && q.table.settled(m.clock(q), k, held) {
+			if ok && q.table.Valid(m.clock(q)) && q.table.exclusive(m.clock(q), k, held) {
 				m.startLocal(q, endpoint, m.limit)
 			}
 		})
 	}
 }
 
-func (m *model) wantExact(p *proc, endpoint string) {
-	if g, ok, asks := p.table.Acquire(m.clock(p), endpoint, m.limit); ok {
+func (m *model) requestExact(p *proc, endpoint string) {
+	if g, ok, sources := p.table.Acquire(m.clock(p), endpoint, m.limit); ok {
 		m.use(p, g)
 	} else {
-		for _, a := range asks {
-			if q := m.find(a.Process); q != nil {
-				m.ask(p, q, endpoint, a)
+		for _, a := range sources {
+			if q := m.findProc(a.Process); q != nil {
+				m.sendSourceRequest(p, q, endpoint, a)
 			}
 		}
 	}
 }
 
-func (m *model) ask(p, q *proc, endpoint string, a Ask) {
+func (m *model) sendSourceRequest(p, q *proc, endpoint string, a Source) {
 	if a.Kind == Handover {
 		m.send(p, q, func() {
 			if q.table.HandOver(m.clock(q), endpoint, a.Index, a.Epoch) {
-				m.send(q, p, func() { p.table.HandedOver(endpoint, a.Index, a.Epoch) })
+				m.send(q, p, func() { p.table.RecordHandOver(endpoint, a.Index, a.Epoch) })
 				return
 			}
-			before, ok := q.table.HandOverNeeds(m.clock(q), endpoint, a.Index, a.Epoch)
-			if r := m.find(before.Process); ok && r != nil && r != q {
-				m.ask(q, r, endpoint, before)
+			before, ok := q.table.PriorHandOver(m.clock(q), endpoint, a.Index, a.Epoch)
+			if r := m.findProc(before.Process); ok && r != nil && r != q {
+				m.sendSourceRequest(q, r, endpoint, before)
 			}
 		})
 		return
@@ -404,9 +409,9 @@
 			return
 		}
 		m.send(q, p, func() {
-			g, ok := p.table.Borrowed(m.clock(p), asked, endpoint, a.Process, id)
+			g, ok := p.table.AcceptLoan(m.clock(p), asked, endpoint, a.Process, id)
 			if !ok {
-				m.giveBack(p, g)
+				m.returnGrant(p, g)
 				return
 			}
 			m.use(p, g)
@@ -414,30 +419,31 @@
 	})
 }
 
-func (m *model) giveBack(p *proc, g Grant) {
+func (m *model) returnGrant(p *proc, g Grant) {
 	p.table.Release(g.ID)
-	if q := m.find(g.Lender); q != nil {
+	if q := m.findProc(g.Lender); q != nil {
 		m.send(p, q, func() { q.table.Return(g.Loan) })
 	}
 }
 
-// use sends the request a little later, if it may still start; the sending process may be paused before.
+// use sends the request a little later if it may still start; the process may be paused
+// in between.
 func (m *model) use(p *proc, g Grant) {
-	m.onProc(m.upTo(m.faults.latency), p, func() {
+	m.onProc(m.randomUpTo(m.faults.latency), p, func() {
 		if !g.MayStart(m.clock(p)) {
-			m.giveBack(p, g)
+			m.returnGrant(p, g)
 			return
 		}
-		m.after(m.upTo(m.flight()), func() {
-			m.job(g.Endpoint, func() { m.onProc(m.upTo(m.faults.latency), p, func() { m.giveBack(p, g) }) })
+		m.after(m.randomUpTo(m.maxFlight()), func() {
+			m.job(g.Endpoint, func() { m.onProc(m.randomUpTo(m.faults.latency), p, func() { m.returnGrant(p, g) }) })
 		})
 	})
 }
 
-// flight bounds a request's way to the endpoint, as Params.Start does.
-func (m *model) flight() time.Duration { return min(m.params.Start/2-modelStep, m.faults.latency) }
+// maxFlight bounds a request's way to the endpoint, as Params.Start does.
+func (m *model) maxFlight() time.Duration { return min(m.params.Start/2-modelStep, m.faults.latency) }
 
-// job runs at the endpoint, whatever becomes of the process that sent it.
+// job runs a request at the endpoint, independent of the process that sent it.
 func (m *model) job(endpoint string, done func()) {
 	m.started++
 	if last, ok := m.last[endpoint]; ok {
@@ -448,10 +454,11 @@
 	if m.running[endpoint] > m.limit {
 		m.overshot++
 	}
-	// Half of the jobs take as long as they may: the bounds are where proofs break.
+	// Half of the jobs take the longest time allowed, since faults in the bounds show
+	// there.
 	took := m.params.Job - modelStep
 	if m.random.IntN(2) == 0 {
-		took = m.upTo(took)
+		took = m.randomUpTo(took)
 	}
 	m.after(took, func() {
 		m.running[endpoint]--
--- a/fleet/slot/params.go
+++ b/fleet/slot/params.go
@@ -2,36 +2,41 @@
 
 import "time"
 
-// Params are the bounds that exactness rests on. All processes use the same.
+// Params are the time bounds on which the exact limit depends. All processes use the
+// same values.
 type Params struct {
-	// Evidence is how long a process may use its slots after it asked for the
-	// epoch. 30 s: three reads of the platform, and the time that cold slots go
-	// on in an outage without a word from all other members (in a fleet of over
-	// confirmLimit, at all).
+	// Evidence is how long a process may use its slots after the start of the read or
+	// confirmation that showed the epoch to be current. 30 s allow three reads of the
+	// platform. In an outage cold slots remain usable for this time without a
+	// confirmation from all other members; with more than maxConfirmMembers members
+	// there is no confirmation, so they stop after it.
 	Evidence time.Duration
-	// Start is how long after a grant its request may still reach the endpoint:
-	// half of it to begin sending, half to arrive.
+	// Start is how long after a grant its request may still reach the endpoint: half of
+	// it to begin sending, half to arrive.
 	Start time.Duration
-	// Job is the longest an endpoint runs a request in cold start. The endpoint
-	// enforces it: the router passes it on as the request's time limit.
+	// Job is the longest time that an endpoint runs a request in cold start. The
+	// endpoint enforces it; the router passes it on as the request's time limit.
 	Job time.Duration
-	// Drift is the greatest difference of a clock's rate from true, in millionths.
-	// 1000: twice what NTP slews by at most.
+	// Drift is the largest deviation of a clock's rate from true time, in millionths.
+	// 1000 is twice the largest rate at which NTP slews.
 	Drift int64
 }
 
-// Defaults are the bounds in use.
+// Defaults are the bounds in production.
 var Defaults = Params{Evidence: 30 * time.Second, Start: 2 * time.Second, Job: time.Minute, Drift: 1000}
 
-// stretch makes a time by this process's clock last at least d by any other's.
+// stretch extends d so that the result, measured by this process's clock, lasts at
+// least d by any other process's clock.
 func (p Params) stretch(d time.Duration) time.Duration {
 	const million = 1_000_000
-	// A slow clock of the other and a fast one here: (1+x)/(1-x) < 1+3x for x below a third.
+	// The other clock may be slow while this one is fast: (1+x)/(1-x) < 1+3x for x
+	// below a third.
 	return d + d*time.Duration(3*p.Drift)/million + 1
 }
 
-// Wait is how long a gainer leaves a slot alone when its loser does not hand it over.
+// Wait is how long a new holder leaves a slot unused when the previous holder does not
+// hand it over.
 func (p Params) Wait() time.Duration { return p.stretch(p.Evidence + p.Start + p.Job) }
 
-// loan is how long a lender counts a lent slot as used.
-func (p Params) loan() time.Duration { return p.stretch(p.Start + p.Job) }
+// loanTime is how long a lender counts a lent slot as used.
+func (p Params) loanTime() time.Duration { return p.stretch(p.Start + p.Job) }
--- a/fleet/slot/service.go
+++ b/fleet/slot/service.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// callTimeout bounds one peer call. Half of the time a borrowed grant has to
-	// start: a slower answer would be too late to be used.
+	// callTimeout bounds one peer call. It is half of the time that a borrowed grant
+	// has to begin sending: a slower answer would come too late.
 	callTimeout = 500 * time.Millisecond
-	// maxAsks bounds the peers asked for one request; beyond it the request waits
-	// its turn in the router's queue, which is cheaper than asking everyone.
-	maxAsks = 3
+	// maxSources bounds the peers asked for one request. Beyond it the request waits in
+	// the router's queue, which is cheaper than asking every peer.
+	maxSources = 3
 )
 
-// Link is the part of peer.Link that slots use.
+// Link is the part of peer.Link that the service uses.
 type Link interface {
 	Register(method string, h peer.Handler)
 	Call(ctx context.Context, t peer.Target, method string, body []byte) ([]byte, error)
 }
 
-// Store is the part of durable.Store that epochs use.
+// Store is the part of durable.Store that the service uses.
 type Store interface {
 	Get(ctx context.Context, key durable.Key) (durable.Object, error)
 	Put(ctx context.Context, key durable.Key, value []byte, ifVersion int64) (durable.Object, error)
 }
 
-// Membership is the part of member.Service that epochs follow.
+// Membership is the part of member.Service that the service uses.
 type Membership interface {
 	Self() member.Digest
 	Members(now time.Time) []member.Member
@@ -43,21 +43,23 @@
 	ListAge(now time.Time) (time.Duration, bool)
 }
 
-// Options are the service's parts.
+// Options configure a Service.
 type Options struct {
 	Params     Params
 	Store      Store
 	Link       Link
 	Membership Membership
-	// Limit is what an endpoint bears cold by this VM's configuration, so that a
-	// borrower with an older one doesn't get a slot that is gone; nil trusts the borrower.
+	// Limit returns an endpoint's cold limit in this VM's configuration. A lender
+	// applies it, so that a borrower with an older configuration doesn't get a slot
+	// that no longer exists. If nil, the borrower's limit is trusted.
 	Limit func(endpoint string) int
-	// Registerer takes the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 }
 
-// Service runs a Table for one process.
+// Service runs a Table for one process: it follows the epoch, answers peers and
+// requests slots from them.
 type Service struct {
 	o       Options
 	metrics *metrics
@@ -66,13 +68,16 @@
 	mu       sync.Mutex
 	table    *Table
 	draining bool
-	// asking: a handover for another is under way.
-	asking bool
-	// differs is the number of rounds that the epoch has not been as this VM would have it.
-	differs int
+	// handOverPending is true while a handover requested on behalf of a peer is under
+	// way.
+	handOverPending bool
+	// roundsDiffering is the number of consecutive rounds in which the epoch's members
+	// differ from those that this VM would propose.
+	roundsDiffering int
 }
 
-// NewService registers the peer methods. The process is what the membership says at this time.
+// NewService creates the service and registers its peer methods. It takes the process
+// identity from the membership at the time of the call.
 func NewService(o Options) *Service {
 	self := o.Membership.Self()
 	s := &Service{
@@ -81,13 +86,14 @@
 		table:   NewTable(Process{ID: self.ID, Incarnation: self.Incarnation}, o.Params),
 	}
 	handle(s, methodLend, s.lend)
-	handle(s, methodReturn, s.takeBack)
+	handle(s, methodReturn, s.acceptReturn)
 	handle(s, methodHandOver, s.handOver)
 	handle(s, methodConfirm, s.confirm)
 	return s
 }
 
-// handle registers a method that answers a checked request with yes or no.
+// handle registers a method that answers a validated request with yes or no. h runs
+// under s.mu.
 func handle[T interface{ check() error }](s *Service, method string, h func(from string, r T) bool) {
 	s.o.Link.Register(method, func(_ context.Context, from string, body []byte) ([]byte, error) {
 		r, err := decode[T](body)
@@ -101,7 +107,7 @@
 	})
 }
 
-// lend, takeBack, handOver and confirm run under s.mu.
+// lend, acceptReturn, handOver and confirm run under s.mu.
 func (s *Service) lend(from string, r lendRequest) bool {
 	if r.Loan.Borrower.ID != from {
 		return false
@@ -113,7 +119,7 @@
 	return s.table.Lend(time.Now(), r.Endpoint, limit, r.Loan)
 }
 
-func (s *Service) takeBack(from string, r returnRequest) bool {
+func (s *Service) acceptReturn(from string, r returnRequest) bool {
 	if r.Loan.Borrower.ID == from {
 		s.table.Return(r.Loan)
 	}
@@ -125,26 +131,27 @@
 	if s.table.HandOver(now, r.Endpoint, r.Index, r.Epoch) {
 		return true
 	}
-	before, ok := s.table.HandOverNeeds(now, r.Endpoint, r.Index, r.Epoch)
-	if ok && !s.asking {
-		// One at a time is enough: whoever wants the slot asks again.
-		s.asking = true
-		s.tasks.Go(func() { s.askBefore(r.Endpoint, before) })
+	before, ok := s.table.PriorHandOver(now, r.Endpoint, r.Index, r.Epoch)
+	if ok && !s.handOverPending {
+		// One handover at a time suffices: a peer that still needs the slot asks again.
+		s.handOverPending = true
+		s.tasks.Go(func() { s.requestPriorHandOver(r.Endpoint, before) })
 	}
 	return false
 }
 
-// askBefore has a slot handed over that this process no longer holds, so that it can hand it on.
-func (s *Service) askBefore(endpoint string, a Ask) {
+// requestPriorHandOver requests the handover of a slot that this process gained and has
+// already lost again, so that it can hand the slot on to the next holder.
+func (s *Service) requestPriorHandOver(endpoint string, a Source) {
 	yes := false
-	if to, known := s.targets([]Ask{a})[a.Process]; known {
+	if to, known := s.targets([]Source{a})[a.Process]; known {
 		yes = s.call(context.Background(), to, methodHandOver, handOverRequest{Endpoint: endpoint, Index: a.Index, Epoch: a.Epoch})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asking = false
+	s.handOverPending = false
 	if yes {
-		s.table.HandedOver(endpoint, a.Index, a.Epoch)
+		s.table.RecordHandOver(endpoint, a.Index, a.Epoch)
 	}
 }
 
@@ -152,28 +159,28 @@
 	return s.table.Confirm(r.Member, r.Number)
 }
 
-// Acquire gets a slot for one request: an own one, one handed over, or one
-// borrowed. Without, it gives the VMs that hold the endpoint's slots, to forward
-// the request to.
+// Acquire obtains a slot for one request: an own slot, one handed over, or one
+// borrowed. If none is available it returns the VMs that hold the endpoint's slots, as
+// targets to forward the request to.
 func (s *Service) Acquire(ctx context.Context, endpoint string, limit int) (Grant, bool, []peer.Target) {
-	g, ok, asks := s.own(endpoint, limit)
+	g, ok, sources := s.acquireOwn(endpoint, limit)
 	if ok {
 		s.metrics.acquired.WithLabelValues("own").Inc()
 		return g, true, nil
 	}
-	targets := s.targets(asks)
-	for _, a := range sample(asks, s.table.self, endpoint, maxAsks) {
+	targets := s.targets(sources)
+	for _, a := range selectSources(sources, s.table.self, endpoint, maxSources) {
 		to, known := targets[a.Process]
 		if !known {
 			continue
 		}
-		if g, ok := s.ask(ctx, to, endpoint, limit, a); ok {
+		if g, ok := s.acquireFrom(ctx, to, endpoint, limit, a); ok {
 			return g, true, nil
 		}
 	}
 	s.metrics.acquired.WithLabelValues("none").Inc()
 	var forward []peer.Target
-	for _, a := range asks {
+	for _, a := range sources {
 		if to, known := targets[a.Process]; known && a.Kind == Borrow {
 			forward = append(forward, to)
 		}
@@ -181,13 +188,14 @@
 	return Grant{}, false, forward
 }
 
-func (s *Service) own(endpoint string, limit int) (Grant, bool, []Ask) {
+func (s *Service) acquireOwn(endpoint string, limit int) (Grant, bool, []Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Acquire(time.Now(), endpoint, limit)
 }
 
-func (s *Service) ask(ctx context.Context, to peer.Target, endpoint string, limit int, a Ask) (Grant, bool) {
+// acquireFrom tries to obtain a slot from one source.
+func (s *Service) acquireFrom(ctx context.Context, to peer.Target, endpoint string, limit int, a Source) (Grant, bool) {
 	if a.Kind == Borrow {
 		return s.borrow(ctx, to, endpoint, limit, a.Process)
 	}
@@ -196,7 +204,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.HandedOver(endpoint, a.Index, a.Epoch)
+	s.table.RecordHandOver(endpoint, a.Index, a.Epoch)
 	g, ok, _ := s.table.Acquire(time.Now(), endpoint, limit)
 	if ok {
 		s.metrics.acquired.WithLabelValues("handed_over").Inc()
@@ -211,19 +219,20 @@
 	asked := time.Now()
 	lent := s.call(ctx, to, methodLend, lendRequest{Endpoint: endpoint, Limit: limit, Loan: id})
 	s.mu.Lock()
-	g, ok := s.table.Borrowed(time.Now(), asked, endpoint, lender, id)
+	g, ok := s.table.AcceptLoan(time.Now(), asked, endpoint, lender, id)
 	s.mu.Unlock()
 	if lent && ok {
 		s.metrics.acquired.WithLabelValues("borrowed").Inc()
 		return g, true
 	}
-	// The yes may have got lost or come too late; without a return the slot would
-	// stand idle until the loan's time is over.
+	// The reply may have been lost or come too late. Without a return the slot would
+	// stay idle until the loan's time is over.
 	s.Release(g)
 	return Grant{}, false
 }
 
-// call is true only for a yes that came.
+// call sends a request to a peer and reports whether a yes arrived. Errors and timeouts
+// count as no.
 func (s *Service) call(ctx context.Context, to peer.Target, method string, request any) bool {
 	body, err := cbor.Marshal(request)
 	if err != nil {
@@ -232,12 +241,12 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := s.o.Link.Call(ctx, to, method, body)
-	return err == nil && isYes(reply)
+	return err == nil && isAccepted(reply)
 }
 
-// Release gives a slot back after the request has ended at the endpoint, or was
-// never sent. A borrowed one is returned in the background; if that gets lost, the
-// lender's own bound frees it.
+// Release frees a slot after the request has ended at the endpoint or if it was never
+// sent. A borrowed slot is returned in the background; if the return is lost, the
+// lender's time bound frees the slot.
 func (s *Service) Release(g Grant) {
 	if g.Loan.Number == 0 {
 		s.mu.Lock()
@@ -245,7 +254,7 @@
 		s.table.Release(g.ID)
 		return
 	}
-	targets := s.targets([]Ask{{Process: g.Lender}})
+	targets := s.targets([]Source{{Process: g.Lender}})
 	to, ok := targets[g.Lender]
 	if !ok {
 		return
@@ -257,13 +266,14 @@
 	})
 }
 
-// Close waits for returns on their way; no Release may follow it.
+// Close waits for returns and handovers under way. Release must not be called after it.
 func (s *Service) Close() { s.tasks.Wait() }
 
-// targets finds the peers' addresses.
-func (s *Service) targets(asks []Ask) map[Process]peer.Target {
-	found := make(map[Process]peer.Target, len(asks))
-	if len(asks) == 0 {
+// targets returns the peer targets of the sources whose processes are neither down nor
+// left.
+func (s *Service) targets(sources []Source) map[Process]peer.Target {
+	found := make(map[Process]peer.Target, len(sources))
+	if len(sources) == 0 {
 		return found
 	}
 	for _, m := range s.o.Membership.Members(time.Now()) {
@@ -271,7 +281,7 @@
 		if m.State == member.Down || m.State == member.Left {
 			continue
 		}
-		for _, a := range asks {
+		for _, a := range sources {
 			if a.Process == p {
 				found[p] = peer.Target{ID: m.ID, Address: m.Address}
 			}
@@ -280,21 +290,22 @@
 	return found
 }
 
-// Drain takes this process out of the next epoch, so that its slots are handed over while it can still say so.
+// Drain removes this process from the next epoch, so that its slots are handed over
+// while it still answers peers.
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Epoch is the number of the newest epoch known, for the heartbeats.
+// Epoch returns the number of the newest epoch known, for the heartbeats.
 func (s *Service) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.epoch.Number
 }
 
-// Dump is Table.Dump.
+// Dump returns Table.Dump.
 func (s *Service) Dump(now time.Time) Dump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/slot/service_test.go
+++ b/fleet/slot/service_test.go
@@ -17,13 +17,14 @@
 	"goldcrestfork/standin/store"
 )
 
-// bus carries calls between services in memory; a VM in cut is reached by nobody.
+// bus carries calls between services in memory. Calls to and from a VM in partitioned
+// fail.
 type bus struct {
-	mu      sync.Mutex
-	methods map[string]map[string]peer.Handler
-	cut     map[string]bool
-	calls   int
-	bytes   int
+	mu          sync.Mutex
+	methods     map[string]map[string]peer.Handler
+	partitioned map[string]bool
+	calls       int
+	bytes       int
 }
 
 type busLink struct {
@@ -42,24 +43,24 @@
 	l.bus.mu.Lock()
 	l.bus.calls++
 	l.bus.bytes += len(body)
-	cut := l.bus.cut[l.id] || l.bus.cut[t.ID]
+	blocked := l.bus.partitioned[l.id] || l.bus.partitioned[t.ID]
 	l.bus.mu.Unlock()
-	if cut {
+	if blocked {
 		return nil, peer.ErrNotSent
 	}
 	return l.bus.methods[t.ID][method](ctx, l.id, body)
 }
 
-// view is a membership in which all VMs are alive.
-type steadyView struct {
+// aliveMembership is a membership in which all VMs are alive.
+type aliveMembership struct {
 	self    member.Digest
 	members []member.Member
 }
 
-func (v steadyView) Self() member.Digest                     { return v.self }
-func (v steadyView) Fresh(time.Time) bool                    { return true }
-func (v steadyView) ListAge(time.Time) (time.Duration, bool) { return 0, true }
-func (v steadyView) Members(time.Time) (others []member.Member) {
+func (v aliveMembership) Self() member.Digest                     { return v.self }
+func (v aliveMembership) Fresh(time.Time) bool                    { return true }
+func (v aliveMembership) ListAge(time.Time) (time.Duration, bool) { return 0, true }
+func (v aliveMembership) Members(time.Time) (others []member.Member) {
 	for _, m := range v.members {
 		if m.ID != v.self.ID {
 			others = append(others, m)
@@ -69,7 +70,7 @@
 }
 
 func newServices(n int, s Store) (*bus, []*Service) {
-	b := &bus{methods: map[string]map[string]peer.Handler{}, cut: map[string]bool{}}
+	b := &bus{methods: map[string]map[string]peer.Handler{}, partitioned: map[string]bool{}}
 	var members []member.Member
 	for i := range n {
 		d := member.Digest{ID: fmt.Sprintf("vm-%03d", i), Address: fmt.Sprintf("10.0.0.%d:7000", i), Incarnation: 1}
@@ -79,14 +80,14 @@
 	for _, m := range members {
 		all = append(all, NewService(Options{
 			Params: Defaults, Store: s, Link: busLink{bus: b, id: m.ID},
-			Membership: steadyView{self: m.Digest, members: members},
+			Membership: aliveMembership{self: m.Digest, members: members},
 		}))
 	}
 	return b, all
 }
 
-// take lets each VM ask for slots of one cold endpoint, several times over.
-func take(all []*Service, limit int) (grants []Grant, by []*Service) {
+// acquireAll lets each VM request slots of one cold endpoint, three times over.
+func acquireAll(all []*Service, limit int) (grants []Grant, by []*Service) {
 	for range 3 {
 		for _, s := range all {
 			if g, ok, _ := s.Acquire(context.Background(), "e", limit); ok {
@@ -97,10 +98,10 @@
 	return grants, by
 }
 
-// Seven VMs all have work for an endpoint that bears three. Then the platform goes
-// away for longer than any evidence lives, and at last a VM can't be reached either.
-// Callers must be served on exactly three slots, outage or not, as long as all
-// members confirm the epoch; after that a slot is no longer safe and none is given.
+// Seven VMs have work for an endpoint with a cold limit of 3 while the platform is down
+// for longer than any evidence is valid. As long as all members confirm the epoch,
+// exactly three slots must be usable. Once a VM can't be reached no slot is safe, and
+// none may be granted.
 func TestSlotsThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := store.New()
@@ -111,7 +112,7 @@
 			running.Go(func() { s.Run(ctx) })
 		}
 		check := func(want int) {
-			grants, by := take(all, 3)
+			grants, by := acquireAll(all, 3)
 			require.Len(t, grants, want)
 			for i, g := range grants {
 				by[i].Release(g)
@@ -125,7 +126,7 @@
 		time.Sleep(10 * time.Minute)
 		check(3)
 		b.mu.Lock()
-		b.cut["vm-004"] = true
+		b.partitioned["vm-004"] = true
 		b.mu.Unlock()
 		time.Sleep(2 * Defaults.Evidence)
 		check(0)
@@ -140,9 +141,10 @@
 	})
 }
 
-// The reply to an epoch's write is lost, with or without effect. Until the writer
-// knows, the write may still come: it must not confirm the old epoch to a member
-// that goes by confirmation. Then it must go on from whatever took effect.
+// The reply to an epoch write is lost, with or without effect. Until the writer knows
+// the outcome the write may still take effect, so the writer must not confirm the old
+// epoch to another member. Afterwards it must continue from whichever epoch took
+// effect.
 func TestUnknownEpochWriteKeepsTheProposalOpen(t *testing.T) {
 	for name, faults := range map[string]store.Faults{
 		"took effect": {LoseReplies: 1},
@@ -174,8 +176,9 @@
 	}
 }
 
-// A member restarts in an outage. Its new process answers at the same address and
-// knows the epoch, but not what the one before it tried to write: it must not confirm for it.
+// A member restarts during an outage. Its new process answers at the same address and
+// knows the epoch, but not what the process before it tried to write, so it must not
+// confirm in its place.
 func TestRestartedMemberDoesNotConfirm(t *testing.T) {
 	before, after := Process{ID: "a", Incarnation: 1}, Process{ID: "a", Incarnation: 2}
 	table := NewTable(after, Defaults)
@@ -221,8 +224,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkAcquire measures a decision when no slot is free, and what a process
-// keeps for 2,000 cold endpoints and reads, by the number of members.
+// BenchmarkAcquire measures a decision when no slot is idle, and the memory that a
+// process keeps for 2,000 cold endpoints and the size of an epoch read, by the number
+// of members.
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{7, 28, 112, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -250,8 +254,8 @@
 	}
 }
 
-// BenchmarkOutage counts, by the number of members, the peer calls that a VM makes
-// and answers in a second while the platform is away, and their bodies' bytes.
+// BenchmarkOutage reports, by the number of members, the peer calls that a VM makes and
+// answers per second while the platform is down, and the bytes of their bodies.
 func BenchmarkOutage(b *testing.B) {
 	for _, n := range []int{7, 28, 112} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/fleet/slot/share.go
+++ b/fleet/slot/share.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Lend gives an idle slot to another process. It counts as used until it is
-// returned or until the borrower's job must be over by this process's clock.
+// Lend lends an idle slot to another process and reports whether it did. The slot
+// counts as used until it is returned or until the borrower's job must have ended by
+// this process's clock.
 func (t *Table) Lend(now time.Time, endpoint string, limit int, id LoanID) bool {
 	if _, again := t.byLoan[id]; again {
-		// The borrower's time runs from its first asking, so a message that came
-		// twice must not start a new loan.
+		// The borrower's time runs from its first request, so a duplicate message must
+		// not start a new loan.
 		return false
 	}
-	key, ok, _ := t.free(now, endpoint, limit)
+	key, ok, _ := t.findIdle(now, endpoint, limit)
 	if !ok {
 		return false
 	}
-	t.used[key] = use{loan: id, until: now.Add(t.params.loan())}
+	t.used[key] = use{loan: id, until: now.Add(t.params.loanTime())}
 	t.byLoan[id] = key
 	return true
 }
 
-// Return frees a lent slot; unknown ids do nothing.
+// Return frees a lent slot. An unknown id has no effect.
 func (t *Table) Return(id LoanID) {
 	if k, ok := t.byLoan[id]; ok {
 		delete(t.byLoan, id)
@@ -27,24 +28,25 @@
 	}
 }
 
-// NewLoan names a loan to ask for.
+// NewLoan returns an unused id for a loan request.
 func (t *Table) NewLoan() LoanID {
 	t.lastID++
 	return LoanID{Borrower: t.self, Number: t.lastID}
 }
 
-// Borrowed turns a lender's yes into a grant. askedAt is when it was asked: the
-// lender's time began later, so the borrower's ends before it. A yes that comes
-// too late is no grant; the borrower returns it.
-func (t *Table) Borrowed(now, askedAt time.Time, endpoint string, lender Process, id LoanID) (Grant, bool) {
+// AcceptLoan turns a lender's yes into a grant. askedAt is when this process sent the
+// request; the lender's time begins later, so the borrower's ends before it. It returns
+// false for a yes that came too late; the borrower then returns the loan.
+func (t *Table) AcceptLoan(now, askedAt time.Time, endpoint string, lender Process, id LoanID) (Grant, bool) {
 	g := Grant{Endpoint: endpoint, StartBy: askedAt.Add(t.params.Start / 2), Lender: lender, Loan: id}
 	return g, g.MayStart(now)
 }
 
-// HandOver answers a gainer: may it use the slot that was ours before epoch? Yes
-// only if this process has taken up that epoch, so that it starts nothing more
-// on the slot, runs and lends nothing on it, and was entitled to it itself: a
-// slot passed on twice quickly may still be in use by the one before.
+// HandOver reports whether the process that gained the slot with epoch may use it now.
+// This requires that this process has adopted that epoch, so that it starts nothing
+// more on the slot; that it runs and lends nothing on the slot; and that it was
+// entitled to the slot itself, since a slot that moved twice in short order may still
+// be in use by the holder before.
 func (t *Table) HandOver(now time.Time, endpoint string, index int, epoch uint64) bool {
 	k := slotKey{endpoint: endpoint, index: index}
 	if t.epoch.Number < epoch || epoch < 2 || t.occupied(now, k) {
@@ -56,39 +58,40 @@
 		}
 	}
 	held, ok := t.tenureAt(k, epoch-1)
-	return ok && t.settled(now, k, held)
+	return ok && t.exclusive(now, k, held)
 }
 
-// HandOverNeeds gives whom to ask when a handover was refused only because this
-// process was not entitled to the slot itself yet. Without it a slot that moves on
-// before its holder ever wanted it would stand idle for Params.Wait, in a rolling
-// restart at each step.
-func (t *Table) HandOverNeeds(now time.Time, endpoint string, index int, epoch uint64) (Ask, bool) {
+// PriorHandOver returns the handover that this process needs first, when HandOver
+// refused only because this process was not entitled to the slot itself yet. Without it
+// a slot that moves on before its holder ever used it would stay idle for Params.Wait,
+// at each step of a rolling restart.
+func (t *Table) PriorHandOver(now time.Time, endpoint string, index int, epoch uint64) (Source, bool) {
 	k := slotKey{endpoint: endpoint, index: index}
 	if t.epoch.Number < epoch || epoch < 2 {
-		return Ask{}, false
+		return Source{}, false
 	}
 	held, ok := t.tenureAt(k, epoch-1)
-	if !ok || !held.hasLoser || t.settled(now, k, held) {
-		return Ask{}, false
+	if !ok || !held.hasPrevious || t.exclusive(now, k, held) {
+		return Source{}, false
 	}
-	return Ask{Kind: Handover, Process: held.loser, Index: index, Epoch: held.first}, true
+	return Source{Kind: Handover, Process: held.previous, Index: index, Epoch: held.first}, true
 }
 
-// HandedOver takes a loser's yes about the tenure that began with epoch. It says
-// nothing about a later tenure: the loser may have used the slot in between.
-func (t *Table) HandedOver(endpoint string, index int, epoch uint64) {
+// RecordHandOver records that the previous holder handed over the slot for the tenure
+// that began with epoch. It has no effect on a later tenure, since the previous holder
+// may have used the slot in between.
+func (t *Table) RecordHandOver(endpoint string, index int, epoch uint64) {
 	k := slotKey{endpoint: endpoint, index: index}
 	held, ok := t.tenureAt(k, epoch)
-	if ok && held.first == epoch && epoch > t.handed[k] {
-		t.handed[k] = epoch
+	if ok && held.first == epoch && epoch > t.handedOver[k] {
+		t.handedOver[k] = epoch
 	}
 }
 
-// Propose gives the epoch to write in place of the newest known, on its version.
-// Only members may propose, and anyone once all members are gone for good: the
-// confirmation in an outage rests on that. From here on this process confirms
-// the old epoch to nobody.
+// Propose returns the epoch to write in place of the newest known one, and the object
+// version that the write must replace. Only members may propose, or any process once
+// all members are gone for good; confirmation during an outage depends on this. From
+// then on this process does not confirm the old epoch.
 func (t *Table) Propose(members []Process, gone func(Process) bool) (Epoch, int64, bool) {
 	if !t.mayPropose(gone) {
 		return Epoch{}, 0, false
@@ -99,6 +102,8 @@
 	return t.epoch.next(members), t.version, true
 }
 
+// mayPropose reports whether this process is a member, or all members are gone for
+// good.
 func (t *Table) mayPropose(gone func(Process) bool) bool {
 	for _, p := range t.epoch.Members {
 		if p == t.self {
@@ -113,29 +118,29 @@
 	return true
 }
 
-// ProposalFailed says that the write certainly had no effect. An earlier write
-// whose outcome is unknown may still come, and keeps the proposal open.
+// ProposalFailed records that the write certainly had no effect. An earlier write whose
+// outcome is unknown may still take effect and keeps the proposal open.
 func (t *Table) ProposalFailed() {
 	if !t.unresolved {
 		t.proposed = 0
 	}
 }
 
-// ProposalUnknown says that the write may or may not take effect, now or later.
-// The proposal stays open until a newer epoch shows that it can't any more.
+// ProposalUnknown records that the write may or may not take effect, now or later. The
+// proposal stays open until a newer epoch shows that the write can no longer succeed.
 func (t *Table) ProposalUnknown() { t.unresolved = true }
 
-// Confirm answers another member in an outage: this process knows no epoch after
-// number and has not tried to write one. It answers only for itself: a process
-// that was restarted can't know what the one before it tried.
+// Confirm reports, for another member in an outage, whether this process knows no epoch
+// after number and has not tried to write one. It answers only for this incarnation: a
+// restarted process can't know what the process before it tried to write.
 func (t *Table) Confirm(asked Process, number uint64) bool {
 	return asked == t.self && t.epoch.Number == number && t.proposed == 0
 }
 
-// Confirmed says that every other member of epoch number confirmed it, when asked
-// at askedAt or later. Only members write the next epoch, so until askedAt none
-// was written and the evidence may date from then.
-func (t *Table) Confirmed(askedAt time.Time, number uint64) {
+// RecordConfirmation records that every other member of epoch number confirmed it when
+// asked at askedAt or later. Only members write the next epoch, so none was written
+// before askedAt and the evidence may date from then.
+func (t *Table) RecordConfirmation(askedAt time.Time, number uint64) {
 	if t.Confirm(t.self, number) && askedAt.After(t.evidence) {
 		t.evidence = askedAt
 	}
@@ -147,15 +152,16 @@
 	Epoch   uint64
 	Members int
 	Valid   bool
-	// Granted and Lent count slots in use, Handed those taken over without waiting.
+	// Granted and Lent count the slots in use. Handed counts the slots that were handed
+	// over without a wait.
 	Granted, Lent, Handed int
 	Proposing             bool
 }
 
-// Dump reports the state.
+// Dump returns the state of the table at now.
 func (t *Table) Dump(now time.Time) Dump {
 	return Dump{
 		Self: t.self, Epoch: t.epoch.Number, Members: len(t.epoch.Members), Valid: t.Valid(now),
-		Granted: len(t.byGrant), Lent: len(t.byLoan), Handed: len(t.handed), Proposing: t.proposed != 0,
+		Granted: len(t.byGrant), Lent: len(t.byLoan), Handed: len(t.handedOver), Proposing: t.proposed != 0,
 	}
 }
--- a/fleet/slot/table.go
+++ b/fleet/slot/table.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// GrantID names a grant within its process.
+// GrantID identifies a grant within its process.
 type GrantID uint64
 
-// LoanID names a loan; the borrower chooses it, so that it can return a loan
-// whose grant got lost on the way.
+// LoanID identifies a loan. The borrower chooses it, so that it can return a loan whose
+// grant was lost on the way.
 type LoanID struct {
 	_        struct{} `cbor:",toarray"`
 	Borrower Process
@@ -20,38 +20,39 @@
 type Grant struct {
 	ID       GrantID
 	Endpoint string
-	// StartBy is when sending must have begun, by this process's clock. Whoever
-	// holds the grant asks MayStart immediately before the first byte.
+	// StartBy is the time before which sending must begin, by this process's clock. The
+	// holder of the grant calls MayStart immediately before the first byte.
 	StartBy time.Time
-	// Lender and Loan are set on a borrowed slot, to return it.
+	// Lender and Loan identify a borrowed slot for its return; they are zero for an own
+	// slot.
 	Lender Process
 	Loan   LoanID
 }
 
-// MayStart says whether the request may still be sent. A process that was paused
-// after the grant finds here that its slot may be another's by now.
+// MayStart reports whether the request may still be sent. A process that was paused
+// after the grant detects here that its slot may by now belong to another process.
 func (g Grant) MayStart(now time.Time) bool { return now.Before(g.StartBy) }
 
-// AskKind is what to ask another process for.
-type AskKind uint8
+// SourceKind is the way in which a slot is obtained from another process.
+type SourceKind uint8
 
 const (
-	// Borrow: an idle slot of the process asked.
-	Borrow AskKind = iota
-	// Handover: whether the process asked has done with a slot that is ours now.
+	// Borrow requests an idle slot of the other process.
+	Borrow SourceKind = iota
+	// Handover requests that the previous holder hand over a slot that this process gained.
 	Handover
 )
 
-// Ask is where else a slot may be had.
-type Ask struct {
-	Kind    AskKind
+// Source is another process from which a slot may be obtained.
+type Source struct {
+	Kind    SourceKind
 	Process Process
-	// Index and Epoch name the slot of a Handover.
+	// Index and Epoch identify the slot and tenure of a Handover.
 	Index int
 	Epoch uint64
 }
 
-// use is what occupies a slot: a grant of ours, or a loan until its time is over.
+// use is the occupation of a slot: a local grant, or a loan until its time ends.
 type use struct {
 	grant GrantID
 	loan  LoanID
@@ -60,58 +61,64 @@
 
 func (u use) lent() bool { return u.loan.Number != 0 }
 
-// Table is the pure core of one process; time is an argument. Not safe for concurrent use.
+// Table tracks the epochs, slots, grants and loans of one process. It has no I/O and
+// takes the time as an argument. It is not safe for concurrent use.
 type Table struct {
 	self   Process
 	params Params
 
 	epoch   Epoch
 	version int64
-	// views are the epochs known, oldest first, with the time each was first known by.
-	views []view
-	since []time.Time
-	// evidence is when the newest proof that epoch is current was asked for.
+	// views holds the known epochs, oldest first; knownSince holds the time at which
+	// each became known.
+	views      []view
+	knownSince []time.Time
+	// evidence is when the newest read or confirmation that showed epoch to be current
+	// began.
 	evidence time.Time
-	// proposed is the epoch that this process tried to replace, unless the try certainly failed.
+	// proposed is the number of the epoch that this process tried to replace, or 0 if
+	// there was no attempt or it certainly failed.
 	proposed uint64
-	// unresolved: the outcome of a try is not known and may still come.
+	// unresolved is true while the outcome of an attempt is unknown and it may still
+	// take effect.
 	unresolved bool
 
 	used map[slotKey]use
-	// byGrant and byLoan find the slot to free.
+	// byGrant and byLoan map grants and loans to their slots.
 	byGrant map[GrantID]slotKey
 	byLoan  map[LoanID]slotKey
-	// handed holds the epoch at which a slot became ours, once its loser handed it over.
-	handed map[slotKey]uint64
-	// holders caches the current epoch's.
+	// handedOver maps a slot that the previous holder handed over to the epoch in which
+	// this process gained it.
+	handedOver map[slotKey]uint64
+	// holders caches the slot holders of the newest epoch.
 	holders map[slotKey]Process
 	lastID  uint64
 }
 
-// NewTable starts a process that knows no epoch and has no slots.
+// NewTable returns the table of a process that knows no epoch and has no slots.
 func NewTable(self Process, params Params) *Table {
 	return &Table{
-		self:    self,
-		params:  params,
-		used:    make(map[slotKey]use),
-		byGrant: make(map[GrantID]slotKey),
-		byLoan:  make(map[LoanID]slotKey),
-		handed:  make(map[slotKey]uint64),
-		holders: make(map[slotKey]Process),
+		self:       self,
+		params:     params,
+		used:       make(map[slotKey]use),
+		byGrant:    make(map[GrantID]slotKey),
+		byLoan:     make(map[LoanID]slotKey),
+		handedOver: make(map[slotKey]uint64),
+		holders:    make(map[slotKey]Process),
 	}
 }
 
-// Epoch is the newest epoch known and its object's version.
+// Epoch returns the newest epoch known and its object's version.
 func (t *Table) Epoch() (Epoch, int64) { return t.epoch, t.version }
 
-// Valid says whether the evidence still holds, and with it the use of own slots.
+// Valid reports whether the evidence is still valid, so that own slots may be used.
 func (t *Table) Valid(now time.Time) bool {
 	return !t.evidence.IsZero() && now.Sub(t.evidence) < t.params.Evidence
 }
 
-// Observe takes the epoch read from the platform. askedAt is when the read was
-// asked for: the epoch was current at some moment since, so evidence may date
-// from then and from no later.
+// Observe applies an epoch read from the platform. askedAt is when the read began: the
+// epoch was current at some time since, so the evidence dates from askedAt and not from
+// the reply.
 func (t *Table) Observe(now, askedAt time.Time, e Epoch, version int64) {
 	if e.Number < t.epoch.Number {
 		return
@@ -130,35 +137,36 @@
 	t.prune(now)
 }
 
-// extend adds the epochs up to e. The one before the first known comes too, so
-// that a new process can ask the loser of its slots.
+// extend adds the views of the epochs up to e. A new process also adds the epoch before
+// the first that it knows, so that it can ask the previous holders of its slots.
 func (t *Table) extend(now time.Time, e Epoch) {
 	from := t.epoch.Number + 1
 	if t.epoch.Number == 0 {
 		from = max(1, e.Number-1)
 	}
-	if e.Number-from > historyKept {
-		from = e.Number - historyKept - 1
+	if e.Number-from > maxHistory {
+		from = e.Number - maxHistory - 1
 	}
 	for n := from; n <= e.Number; n++ {
 		t.views = append(t.views, newView(n, e.membersAt(n)))
-		t.since = append(t.since, now)
+		t.knownSince = append(t.knownSince, now)
 	}
 }
 
-// prune drops views that no wait depends on: all but the newest one that is older than Wait.
+// prune drops the views on which no wait depends any more: all older than the newest
+// one that has been known for Params.Wait. It also drops the handovers of those epochs.
 func (t *Table) prune(now time.Time) {
-	for len(t.views) > 1 && now.Sub(t.since[1]) >= t.params.Wait() {
-		t.views, t.since = t.views[1:], t.since[1:]
+	for len(t.views) > 1 && now.Sub(t.knownSince[1]) >= t.params.Wait() {
+		t.views, t.knownSince = t.views[1:], t.knownSince[1:]
 	}
-	for k, n := range t.handed {
+	for k, n := range t.handedOver {
 		if n < t.views[0].number {
-			delete(t.handed, k)
+			delete(t.handedOver, k)
 		}
 	}
 }
 
-// holder is whose slot it is in the newest epoch.
+// holder returns the process that holds the slot in the newest epoch.
 func (t *Table) holder(k slotKey) (Process, bool) {
 	if len(t.views) == 0 {
 		return Process{}, false
@@ -173,17 +181,20 @@
 	return p, ok
 }
 
-// tenure is an unbroken time in which this process holds a slot.
+// tenure is a run of consecutive epochs in which this process holds a slot.
 type tenure struct {
-	// first is the epoch it starts with, since when this process knows of it.
+	// first is the epoch in which the tenure starts; since is when this process learnt
+	// of it.
 	first uint64
 	since time.Time
-	// loser held the slot in the epoch before; false when not known.
-	loser    Process
-	hasLoser bool
+	// previous held the slot in the epoch before first; hasPrevious is false when no
+	// holder is known.
+	previous    Process
+	hasPrevious bool
 }
 
-// tenureAt is the tenure that includes epoch number; false when the slot was not ours in it.
+// tenureAt returns the tenure that includes epoch number; false when this process did
+// not hold the slot in that epoch.
 func (t *Table) tenureAt(k slotKey, number uint64) (tenure, bool) {
 	at := slices.IndexFunc(t.views, func(v view) bool { return v.number == number })
 	if at < 0 {
@@ -193,31 +204,31 @@
 	for i := at; i >= 0; i-- {
 		p, ok := t.views[i].holder(k)
 		if !ok || p != t.self {
-			found.loser, found.hasLoser = p, ok
+			found.previous, found.hasPrevious = p, ok
 			break
 		}
-		found.first, found.since = t.views[i].number, t.since[i]
+		found.first, found.since = t.views[i].number, t.knownSince[i]
 	}
 	return found, found.first != 0
 }
 
-// settled says whether nobody else can be using the slot any more.
-func (t *Table) settled(now time.Time, k slotKey, held tenure) bool {
-	// Nothing comes before the first epoch.
+// exclusive reports whether no other process can be using the slot any more.
+func (t *Table) exclusive(now time.Time, k slotKey, held tenure) bool {
+	// There is no holder before the first epoch.
 	if held.first == 1 {
 		return true
 	}
-	// The loser handed the slot over, or its evidence, its last grant and that
-	// grant's job have ended by any clock.
-	return t.handed[k] == held.first || now.Sub(held.since) >= t.params.Wait()
+	// Either the previous holder handed the slot over, or its evidence, its last grant
+	// and that grant's job have ended by any clock.
+	return t.handedOver[k] == held.first || now.Sub(held.since) >= t.params.Wait()
 }
 
-// Acquire gives a slot of our own, or tells whom to ask. limit is the number of
-// requests that the endpoint bears cold.
-func (t *Table) Acquire(now time.Time, endpoint string, limit int) (Grant, bool, []Ask) {
-	key, ok, asks := t.free(now, endpoint, limit)
+// Acquire grants an own idle slot, or returns the sources to ask. limit is the
+// endpoint's cold limit, in concurrent requests.
+func (t *Table) Acquire(now time.Time, endpoint string, limit int) (Grant, bool, []Source) {
+	key, ok, sources := t.findIdle(now, endpoint, limit)
 	if !ok {
-		return Grant{}, false, asks
+		return Grant{}, false, sources
 	}
 	t.lastID++
 	id := GrantID(t.lastID)
@@ -226,9 +237,9 @@
 	return Grant{ID: id, Endpoint: endpoint, StartBy: now.Add(t.params.Start / 2)}, true, nil
 }
 
-// free finds an idle slot of our own, or whom to ask instead.
-func (t *Table) free(now time.Time, endpoint string, limit int) (slotKey, bool, []Ask) {
-	var asks []Ask
+// findIdle returns an own idle slot that may be used, or the sources to ask instead.
+func (t *Table) findIdle(now time.Time, endpoint string, limit int) (slotKey, bool, []Source) {
+	var sources []Source
 	valid := t.Valid(now)
 	for i := range limit {
 		k := slotKey{endpoint: endpoint, index: i}
@@ -236,28 +247,29 @@
 		switch {
 		case !ok:
 		case p != t.self:
-			asks = addAsk(asks, Ask{Kind: Borrow, Process: p})
+			sources = addSource(sources, Source{Kind: Borrow, Process: p})
 		case valid && !t.occupied(now, k):
 			held, _ := t.tenureAt(k, t.epoch.Number)
-			if t.settled(now, k, held) {
+			if t.exclusive(now, k, held) {
 				return k, true, nil
 			}
-			if held.hasLoser {
-				asks = addAsk(asks, Ask{Kind: Handover, Process: held.loser, Index: i, Epoch: held.first})
+			if held.hasPrevious {
+				sources = addSource(sources, Source{Kind: Handover, Process: held.previous, Index: i, Epoch: held.first})
 			}
 		}
 	}
-	return slotKey{}, false, asks
+	return slotKey{}, false, sources
 }
 
-func addAsk(asks []Ask, a Ask) []Ask {
-	if slices.Contains(asks, a) {
-		return asks
+func addSource(sources []Source, a Source) []Source {
+	if slices.Contains(sources, a) {
+		return sources
 	}
-	return append(asks, a)
+	return append(sources, a)
 }
 
-// occupied frees a lent slot whose time is over, and says whether the slot is used.
+// occupied reports whether the slot is in use. It frees a lent slot whose time has
+// ended.
 func (t *Table) occupied(now time.Time, k slotKey) bool {
 	u, ok := t.used[k]
 	if ok && u.lent() && !now.Before(u.until) {
@@ -268,8 +280,8 @@
 	return ok
 }
 
-// Release frees a grant's slot once its request has ended at the endpoint. A
-// second release does nothing.
+// Release frees the slot of a grant after its request has ended at the endpoint. A
+// second release has no effect.
 func (t *Table) Release(id GrantID) {
 	if k, ok := t.byGrant[id]; ok {
 		delete(t.byGrant, id)
--- a/fleet/slot/table_test.go
+++ b/fleet/slot/table_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// storm is far more trouble than any day brings: something breaks every second or two.
-var storm = faults{crash: 0.02, freeze: 0.03, cut: 0.02, outage: 0.02, change: 0.05, loss: 0.1, latency: 1500 * time.Millisecond}
+// storm has a fault every second or two, far more than occurs in operation.
+var storm = faults{crash: 0.02, pause: 0.03, partition: 0.02, outage: 0.02, change: 0.05, loss: 0.1, latency: 1500 * time.Millisecond}
 
 var calm = faults{latency: 50 * time.Millisecond}
 
-// Processes crash and restart, are paused with grants in hand, are cut from one
-// another one way, lose the platform and replies from it, propose epochs from
-// wrong views, and messages come late and crossed. An endpoint in cold start must
-// never run more than it bears: the caller would see it fall over again.
+// Processes crash, restart and pause with grants in hand, links fail in one direction,
+// platform replies are lost, epochs are proposed from wrong views, and messages arrive
+// late and out of order. An endpoint in cold start must never run more than its limit,
+// or it fails again.
 func TestColdLimitHoldsInAStorm(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := storm
-		// Each kind of fault alone, in pairs and all together.
-		for _, chance := range []*float64{&f.crash, &f.freeze, &f.cut, &f.outage, &f.change, &f.loss} {
+		// Each kind of fault occurs alone, in pairs and all together.
+		for _, chance := range []*float64{&f.crash, &f.pause, &f.partition, &f.outage, &f.change, &f.loss} {
 			*chance *= rapid.SampledFrom([]float64{0, 0.2, 1, 3}).Draw(t, "times")
 		}
 		f.loss = min(f.loss, 0.2)
@@ -32,18 +32,20 @@
 	})
 }
 
-// With nothing broken the limit must also be used, or it would be exact by doing nothing.
+// Without faults the slots must also be used: a table that grants nothing would keep
+// the limit trivially.
 func TestColdSlotsAreUsed(t *testing.T) {
 	m := newModel(1, exact, calm, 4, 3)
 	m.run(3 * time.Minute)
 	require.Zero(t, m.overshot)
-	// Two endpoints with three slots, jobs of 4.5 s on average and about one and a half
-	// between two jobs run at most 180; the rest goes to the start.
+	// Two endpoints with three slots, with jobs of 4.5 s on average and about 1.5 s
+	// between two jobs, run at most 180 jobs; the difference is the start phase.
 	require.Greater(t, m.started, 120)
 }
 
-// A slot goes from a to b and on to c, and b never wanted it. c must get it by
-// asking: b has it handed over by a first. Else it would stand idle for the wait.
+// A slot moves from a to b and on to c, and b never used it. c must obtain it by a
+// request, for which b first has a hand it over. Otherwise the slot would stay idle for
+// Params.Wait.
 func TestSlotThatMovesTwiceIsHandedOn(t *testing.T) {
 	procs := []Process{{ID: "a", Incarnation: 1}, {ID: "b", Incarnation: 1}, {ID: "c", Incarnation: 1}}
 	now := time.Unix(1000, 0)
@@ -59,23 +61,23 @@
 		}
 	}
 	require.False(t, tables[1].HandOver(now, "e", 0, 3))
-	before, ok := tables[1].HandOverNeeds(now, "e", 0, 3)
+	before, ok := tables[1].PriorHandOver(now, "e", 0, 3)
 	require.True(t, ok)
-	require.Equal(t, Ask{Kind: Handover, Process: procs[0], Epoch: 2}, before)
+	require.Equal(t, Source{Kind: Handover, Process: procs[0], Epoch: 2}, before)
 	require.True(t, tables[0].HandOver(now, "e", 0, 2))
-	tables[1].HandedOver("e", 0, 2)
+	tables[1].RecordHandOver("e", 0, 2)
 	require.True(t, tables[1].HandOver(now, "e", 0, 3))
-	tables[2].HandedOver("e", 0, 3)
+	tables[2].RecordHandOver("e", 0, 3)
 	_, ok, _ = tables[2].Acquire(now, "e", 1)
 	require.True(t, ok)
 }
 
-// BenchmarkSharing measures each way to share slots under the same churn (seeds
-// 1 to 20, seven VMs, two endpoints that bear 4): starts above the limit, requests run, and the
-// longest time an endpoint got nothing, mean over the seeds.
+// BenchmarkSharing compares the sharing policies under the same faults, with seven VMs
+// and two endpoints with a limit of 4: starts above the limit, requests run, and the
+// mean over the runs of the longest time without a start at an endpoint.
 func BenchmarkSharing(b *testing.B) {
 	names := []string{"exact", "one-owner", "leased-owner", "even-ceil", "even-floor", "optimistic"}
-	churn := faults{crash: 0.002, freeze: 0.002, cut: 0.001, outage: 0.002, loss: 0.01, latency: 50 * time.Millisecond}
+	churn := faults{crash: 0.002, pause: 0.002, partition: 0.001, outage: 0.002, loss: 0.01, latency: 50 * time.Millisecond}
 	for _, trouble := range []struct {
 		name   string
 		faults faults
@@ -102,10 +104,10 @@
 	}
 }
 
-// A slot goes from a to b, back and to b again while a's first "it is free" is on
-// its way. The late answer speaks of the first time; a may be using the slot since,
+// A slot moves from a to b, back, and to b again while a's first handover reply is
+// under way. The late reply refers to the first tenure; a may have used the slot since,
 // so b must ask again.
-func TestLateHandoverAnswerCountsForNothing(t *testing.T) {
+func TestLateHandoverAnswerIsIgnored(t *testing.T) {
 	a, b := Process{ID: "a", Incarnation: 1}, Process{ID: "b", Incarnation: 1}
 	now := time.Unix(1000, 0)
 	table := NewTable(b, Defaults)
@@ -115,11 +117,11 @@
 		now = now.Add(time.Second)
 		table.Observe(now, now, e, int64(e.Number))
 	}
-	table.HandedOver("e", 0, 2)
-	_, ok, asks := table.Acquire(now, "e", 1)
+	table.RecordHandOver("e", 0, 2)
+	_, ok, sources := table.Acquire(now, "e", 1)
 	require.False(t, ok)
-	require.Equal(t, []Ask{{Kind: Handover, Process: a, Epoch: 4}}, asks)
-	table.HandedOver("e", 0, 4)
+	require.Equal(t, []Source{{Kind: Handover, Process: a, Epoch: 4}}, sources)
+	table.RecordHandOver("e", 0, 4)
 	_, ok, _ = table.Acquire(now, "e", 1)
 	require.True(t, ok)
 }
