--- a/fleet/member/candidates.go
+++ b/fleet/member/candidates.go
@@ -2,8 +2,8 @@
 
 import "goldcrestfork/fleet/address"
 
-// Candidates are the VMs that callers may be sent to, this one included, for
-// address.Choose. A VM that is down or was never heard of is none.
+// Candidates returns the VMs that callers may be sent to, this one included, for
+// address.Choose. VMs that are down, left or not yet in contact are omitted.
 func Candidates(self Digest, members []Member) []address.Candidate {
 	all := []address.Candidate{candidate(self, self.Draining || self.Left, false)}
 	for _, m := range members {
--- a/fleet/member/fleet_test.go
+++ b/fleet/member/fleet_test.go
@@ -11,25 +11,25 @@
 	"goldcrestfork/fleet/peer"
 )
 
-// seed of all random loss in this package's tests.
+// seed initialises all random loss in this package's tests.
 const seed = 20261202
 
-// fleet is a few tables wired in memory under stepped time: the smallest thing
-// that shows what VMs conclude together.
+// fleet connects tables in memory under stepped time, to test what the VMs conclude
+// together.
 type fleet struct {
 	now    time.Time
 	tables map[string]*Table
 	byAddr map[string]string
-	// cut loses messages from one VM to another.
-	cut    func(from, to string) bool
-	paused map[string]bool
-	// bytes and messages count what was sent.
+	// partitioned reports whether messages from one VM to another are lost.
+	partitioned func(from, to string) bool
+	paused      map[string]bool
+	// bytes and messages count the traffic sent.
 	bytes, messages int
 	random          *rand.Rand
 	loss            float64
 }
 
-// incarnation is of the size that a start's wall clock gives.
+// incarnation has the size of a wall-clock start time in nanoseconds.
 const incarnation = 1_764_000_000_000_000_000
 
 func vmID(i int) string { return fmt.Sprintf("vm-%03d", i) }
@@ -37,7 +37,7 @@
 func newFleet(n, dataCentres int) *fleet {
 	f := &fleet{
 		now: time.Unix(1_000_000, 0), tables: map[string]*Table{}, byAddr: map[string]string{},
-		cut: func(string, string) bool { return false }, paused: map[string]bool{},
+		partitioned: func(string, string) bool { return false }, paused: map[string]bool{},
 		random: rand.New(rand.NewPCG(seed, 0)),
 	}
 	for i := range n {
@@ -55,7 +55,7 @@
 	return f.tables[id]
 }
 
-// list gives every VM the platform's list as it is now.
+// list gives every VM the platform's current list.
 func (f *fleet) list() {
 	var vms []durable.VM
 	for id, t := range f.tables {
@@ -67,10 +67,10 @@
 }
 
 func (f *fleet) lost(from, to string) bool {
-	return f.paused[to] || f.cut(from, to) || f.random.Float64() < f.loss
+	return f.paused[to] || f.partitioned(from, to) || f.random.Float64() < f.loss
 }
 
-// step is one tick of each VM; messages arrive at once, in the order sent.
+// step runs one tick of each VM; messages arrive at once, in the order sent.
 func (f *fleet) step() {
 	f.now = f.now.Add(Tick)
 	for i := range len(f.tables) * 2 {
@@ -113,7 +113,7 @@
 	f.messages++
 }
 
-// sync is the whole exchange of each VM with a peer that Service makes now and again.
+// sync makes each VM synchronise with a peer, as Service does at intervals.
 func (f *fleet) sync(turn int) {
 	for _, t := range f.tables {
 		if to, ok := t.syncTarget(turn); ok && f.tables[to.ID] != nil {
@@ -122,7 +122,8 @@
 	}
 }
 
-// until steps till done holds and gives the ticks taken, limit when it never does.
+// until steps until done holds and returns the number of ticks taken, or limit if done
+// never holds.
 func (f *fleet) until(limit int, done func() bool) int {
 	for n := range limit {
 		if done() {
@@ -133,7 +134,7 @@
 	return limit
 }
 
-// state is what one VM thinks of another.
+// state returns one VM's view of another.
 func (f *fleet) state(of, by string) State {
 	if r := f.tables[by].rows[of]; r != nil {
 		return r.state
@@ -141,7 +142,7 @@
 	return Down
 }
 
-// all says whether each running VM except id sees id in one of the states.
+// all reports whether each running VM except id sees id in one of the states.
 func (f *fleet) all(id string, states ...State) bool {
 	for by := range f.tables {
 		if by == id || f.paused[by] {
@@ -206,8 +207,8 @@
 	}
 }
 
-// BenchmarkNews measures in ticks how long all VMs take to notice a killed VM (no
-// more in address answers), to call it down, and to learn of one that drains.
+// BenchmarkNews measures, in ticks, how long all VMs take to notice a killed VM (and
+// drop it from address answers), to mark it down, and to learn of one that drains.
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{7, 28, 112, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/fleet/member/message.go
+++ b/fleet/member/message.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Digest is what a VM says about itself, passed on by others as it is.
+// Digest is the state that a VM publishes about itself. Other VMs pass it on unchanged.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
 	// ID is the platform's name of the VM.
@@ -16,25 +16,25 @@
 	Address string
 	// CallerAddress is "ip:port" where callers connect.
 	CallerAddress string
-	// DataCentre is where it runs.
+	// DataCentre is the data centre of the VM.
 	DataCentre string
 	// Incarnation grows with each start of a process on this VM.
 	Incarnation uint64
-	// Beat grows each tick of the process.
+	// Beat grows by one with each tick of the process.
 	Beat uint64
-	// Revision is the configuration revision in force on it.
+	// Revision is the configuration revision in force on the VM.
 	Revision int64
-	// Epoch is the membership epoch its cold-start slots follow.
+	// Epoch is the membership epoch that assigns the VM's cold-start slots.
 	Epoch uint64
-	// Load is its use, in thousandths of what it bears.
+	// Load is the VM's utilisation, in thousandths of its capacity.
 	Load uint16
-	// Draining: it serves what it has and takes no new callers.
+	// Draining is true while the VM serves its current callers and accepts no new ones.
 	Draining bool
-	// Left: the last word of this incarnation.
+	// Left is true in the last digest of this incarnation.
 	Left bool
 }
 
-// Suspicion says that a VM's pings went unanswered after the beat named.
+// Suspicion reports that a VM's pings went unanswered after the given beat.
 type Suspicion struct {
 	_           struct{} `cbor:",toarray"`
 	ID          string
@@ -42,24 +42,25 @@
 	Beat        uint64
 }
 
-// Message is one heartbeat: a ping, or the answer to one.
+// Message is one heartbeat: a ping or the answer to one.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Ask wants an answer.
+	// Ask requests an answer.
 	Ask bool
-	// EchoIncarnation and Echo name the ping that this one answers; 0 for a ping.
+	// EchoIncarnation and Echo identify the ping that this message answers; both are 0
+	// in a ping.
 	EchoIncarnation uint64
 	Echo            uint64
-	// From is the sender.
+	// From is the sender's digest.
 	From       Digest
 	Digests    []Digest
 	Suspicions []Suspicion
 }
 
 const (
-	// maxMessage is the size a message is filled to, in bytes. 500: eight
-	// messages a tick then stay near 4 KB/s each way, under a third of the
-	// 14 KB/s that control may take.
+	// maxMessage is the size to which a message is filled, in bytes. Eight messages of
+	// 500 bytes a tick stay near 4 KB/s in each direction, under a third of the 14 KB/s
+	// budget for control traffic.
 	maxMessage = 500
 	// maxText bounds an id, address or data centre, in bytes.
 	maxText = 64
@@ -67,7 +68,8 @@
 	maxItems = 32
 )
 
-// size estimates the encoded size in bytes: texts, a byte of head each, and the numbers.
+// size estimates the encoded size in bytes: the texts plus 36 for their headers and the
+// numbers.
 func (d Digest) size() int {
 	return len(d.ID) + len(d.Address) + len(d.CallerAddress) + len(d.DataCentre) + 36
 }
@@ -89,10 +91,10 @@
 	return mode
 }()
 
-// Encode gives the message's bytes.
+// Encode returns the CBOR encoding of the message.
 func (m Message) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// Decode reads a message and refuses what Encode never gives.
+// Decode decodes a message. It returns an error for data that Encode never produces.
 func Decode(data []byte) (Message, error) {
 	var m Message
 	if err := decoding.Unmarshal(data, &m); err != nil {
--- a/fleet/member/receive.go
+++ b/fleet/member/receive.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Receive takes a message whose sender proved to be from, and gives the answer
-// to a ping.
+// Receive applies a message from the VM that the sender's certificate names, and
+// returns the answer if the message is a ping. It drops a message whose sender doesn't
+// match.
 func (t *Table) Receive(now time.Time, from string, m Message) (Message, bool) {
 	if from != m.From.ID || from == t.self.ID {
 		t.Counts.Foreign++
@@ -28,112 +29,115 @@
 	return answer, true
 }
 
-// echo takes an answer to one of this VM's pings. It counts from when the ping
-// left: an answer that lay in the socket while the process was paused is as old as its ping.
+// echo applies the answer to one of this VM's pings. Contact dates from the sending of
+// the ping: an answer that waited in the socket while the process was paused is as old
+// as its ping.
 func (t *Table) echo(now time.Time, from string, m Message) {
 	recent := m.Echo > 0 && m.Echo <= t.self.Beat && t.self.Beat-m.Echo < uint64(len(t.sentAt))
 	if m.EchoIncarnation != t.self.Incarnation || !recent {
 		return
 	}
 	sent := t.sentAt[m.Echo%uint64(len(t.sentAt))]
-	if sent.After(t.contact) {
-		t.contact = sent
+	if sent.After(t.lastContact) {
+		t.lastContact = sent
 	}
 	if r, ok := t.rows[from]; ok && now.Sub(sent) <= unansweredLimit*Tick {
 		r.unanswered = 0
 	}
 }
 
-// merge takes a digest; direct says that the VM itself sent it.
+// merge applies a digest. direct is true if the VM itself sent it.
 func (t *Table) merge(now time.Time, d Digest, direct bool) {
 	if d.ID == t.self.ID {
-		t.mergeSelf(d)
+		t.raiseIncarnation(d)
 		return
 	}
 	r, ok := t.rows[d.ID]
 	if !ok {
 		r = &member{advanced: now, changed: now}
 		t.rows[d.ID] = r
-		t.stale = true
+		t.targetsStale = true
 	}
 	switch {
 	case d.Incarnation > r.digest.Incarnation:
-		t.admit(now, r, d)
+		t.startIncarnation(now, r, d)
 	case d.Incarnation < r.digest.Incarnation || d.Beat <= r.digest.Beat:
 		return
 	default:
 		t.advance(now, r, d)
 	}
 	if direct {
-		t.replaceAt(now, r)
+		t.markReplaced(now, r)
 	}
 }
 
-// mergeSelf answers hearsay about this VM from an earlier process on it.
-func (t *Table) mergeSelf(d Digest) {
+// raiseIncarnation raises this VM's incarnation above that of an earlier process whose
+// digest still circulates.
+func (t *Table) raiseIncarnation(d Digest) {
 	if d.Incarnation > t.self.Incarnation && d.Incarnation < math.MaxUint64 {
 		t.self.Incarnation = d.Incarnation + 1
 	}
 }
 
-// admit starts a new incarnation of a VM.
-func (t *Table) admit(now time.Time, r *member, d Digest) {
-	t.startHot(r)
+// startIncarnation resets a row for a new incarnation of its VM.
+func (t *Table) startIncarnation(now time.Time, r *member, d Digest) {
+	t.prioritise(r)
 	r.digest = d
 	r.advanced = now
-	r.unanswered, r.hotSuspicion = 0, 0
+	r.unanswered, r.suspicionCopies = 0, 0
 	t.machine.fire(r, restarted, now)
 	if d.Left {
 		t.machine.fire(r, left, now)
 	}
-	t.stale = true
+	t.targetsStale = true
 }
 
+// advance applies a digest with a higher beat of the same incarnation.
 func (t *Table) advance(now time.Time, r *member, d Digest) {
-	news := d.Draining != r.digest.Draining || d.Left != r.digest.Left || d.Address != r.digest.Address
+	significant := d.Draining != r.digest.Draining || d.Left != r.digest.Left || d.Address != r.digest.Address
 	wasSuspect := r.state == Suspect
 	r.digest = d
 	r.advanced = now
-	trig := heard
+	trig := beatAdvanced
 	if d.Left {
 		trig = left
 	}
 	if t.machine.fire(r, trig, now) {
-		news, t.stale = true, true
-		r.hotSuspicion = 0
+		significant, t.targetsStale = true, true
+		r.suspicionCopies = 0
 	}
 	if wasSuspect && r.state == Alive {
 		t.Counts.Denials++
 	}
-	if news {
-		t.startHot(r)
+	if significant {
+		t.prioritise(r)
 	}
 }
 
-// replaceAt marks others at the same address as down. A replaced VM takes the
-// address of the one before it; without this, both ids would be pinged and
-// named to callers until the list caught up.
-func (t *Table) replaceAt(now time.Time, r *member) {
+// markReplaced marks other VMs at the same address as down. A replacement VM takes over
+// the address of its predecessor; without this, both ids would be pinged and returned
+// to callers until the platform's list caught up.
+func (t *Table) markReplaced(now time.Time, r *member) {
 	for _, other := range t.rows {
 		if other == r || other.digest.Address != r.digest.Address || other.state == Down || other.state == Left {
 			continue
 		}
 		t.Counts.Replaced++
 		t.machine.fire(other, silent, now)
-		t.stale = true
+		t.targetsStale = true
 	}
 }
 
-// suspect takes a suspicion, from a message or this VM's own pings.
+// suspect applies a suspicion from a message or from this VM's own pings.
 func (t *Table) suspect(now time.Time, s Suspicion) {
 	r, ok := t.rows[s.ID]
 	if !ok || s.Incarnation != r.digest.Incarnation {
 		return
 	}
 	if s.Beat < r.digest.Beat {
-		// This VM knows better: a higher beat, which it passes on ahead of its turn.
-		if r.state == Alive && r.hot == 0 {
-			t.startHot(r)
+		// This VM knows a higher beat, and sends it early to refute the suspicion.
+		if r.state == Alive && r.urgentCopies == 0 {
+			t.prioritise(r)
 		}
 		return
 	}
@@ -141,12 +145,13 @@
 	if t.machine.fire(r, suspected, now) {
 		t.Counts.Suspicions++
 		r.suspicion = s
-		r.hotSuspicion = t.copies()
+		r.suspicionCopies = t.copies()
 	}
 }
 
-func (t *Table) startHot(r *member) { r.hot = t.copies() }
+// prioritise sends the row's digest early in the next messages.
+func (t *Table) prioritise(r *member) { r.urgentCopies = t.copies() }
 
-// copies is how many messages carry a change ahead of its turn: about eight
-// leave a tick, and the change has to be told for log2(n) ticks.
-func (t *Table) copies() int { return 3 * t.spread() }
+// copies returns the number of messages that carry a change early: about eight messages
+// leave per tick, and the change must be repeated for log2(n) ticks.
+func (t *Table) copies() int { return 3 * t.spreadTicks() }
--- a/fleet/member/service.go
+++ b/fleet/member/service.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// listInterval is the time between two reads of the platform's list. 15 s: 400
-	// VMs then make 27 of the platform's 2,000 reads a second; heartbeats carry the news.
+	// listInterval is the time between two reads of the platform's list. At 15 s, 400
+	// VMs make 27 of the platform's 2,000 reads a second; heartbeats carry the changes
+	// in between.
 	listInterval = 15 * time.Second
-	// lonelyInterval replaces it while no peer answers, so that a VM that is
-	// alone stays fresh by the list.
-	lonelyInterval = 2 * time.Second
+	// isolatedListInterval replaces listInterval while no peer answers, so that an
+	// isolated VM stays fresh by the list.
+	isolatedListInterval = 2 * time.Second
 )
 
-// methodLeave is the peer method that takes a VM's last message.
+// methodLeave is the peer method that receives a VM's last message.
 const methodLeave = "member.leave"
 
-// leaveTimeout bounds the last words, so that peers that are gone don't hold up a stop.
+// leaveTimeout bounds the last messages, so that unreachable peers don't delay a stop.
 const leaveTimeout = 2 * time.Second
 
-// Link is the part of peer.Link that heartbeats use.
+// Link is the part of peer.Link that the service uses.
 type Link interface {
 	Send(peer.Target, []byte)
 	OnDatagram(peer.DatagramHandler)
@@ -35,22 +36,23 @@
 	Call(ctx context.Context, t peer.Target, method string, body []byte) ([]byte, error)
 }
 
-// Lister is the part of durable.Store that membership uses.
+// Lister is the part of durable.Store that the service uses.
 type Lister interface {
 	VMs(ctx context.Context) ([]durable.VM, error)
 }
 
-// Options are the service's parts.
+// Options configure a Service.
 type Options struct {
 	Self  Self
 	Link  Link
 	Store Lister
-	// Registerer takes the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 }
 
-// Service runs a Table: it sends the pings, takes the messages and reads the list.
+// Service runs a Table: it sends the pings, receives the messages and reads the
+// platform's list.
 type Service struct {
 	link  Link
 	store Lister
@@ -64,7 +66,8 @@
 	fresh bool
 }
 
-// NewService takes the link's datagrams from now on; Run starts the pings.
+// NewService creates the service and starts to receive datagrams and calls from the
+// link. Run starts the pings.
 func NewService(o Options) *Service {
 	s := &Service{link: o.Link, store: o.Store, log: o.Log, table: NewTable(time.Now(), o.Self)}
 	s.register(o.Registerer)
@@ -93,18 +96,18 @@
 		}
 		return 0
 	})
-	// goldcrest_member_alive_total: VMs seen alive, this one left out.
+	// goldcrest_member_alive_total: VMs seen alive, without this one.
 	gauge("goldcrest_member_alive_total", "VMs seen alive.", func() float64 {
 		return float64(s.Dump(time.Now()).States[Alive.String()])
 	})
 }
 
-// Run ticks until the context ends.
+// Run pings, reads the list and synchronises with peers until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var others sync.WaitGroup
 	defer others.Wait()
 	others.Go(func() { s.pollList(ctx) })
-	others.Go(func() { s.keepSync(ctx) })
+	others.Go(func() { s.runSync(ctx) })
 	ticker := time.NewTicker(Tick)
 	defer ticker.Stop()
 	for {
@@ -162,6 +165,7 @@
 	reply(data)
 }
 
+// pollList reads the platform's list at intervals until the context ends.
 func (s *Service) pollList(ctx context.Context) {
 	for {
 		asked := time.Now()
@@ -174,7 +178,7 @@
 			s.table.ObserveList(time.Now(), asked, vms)
 		}
 		if age, ok := s.table.PeerContact(time.Now()); !ok || age > FreshLimit {
-			wait = lonelyInterval
+			wait = isolatedListInterval
 		}
 		s.mu.Unlock()
 		select {
@@ -185,11 +189,10 @@
 	}
 }
 
-// Leave tells the others that this VM is gone after this; it is for the last
-// moment of a planned stop. The word goes by calls, since a
-// datagram may still wait in the socket when the process ends, and callers would
-// be sent here until the silence shows. It returns when all have answered, or
-// after leaveTimeout.
+// Leave tells the pinged VMs that this VM stops; it is the last step of a planned stop.
+// It uses calls, since a datagram may still wait in the socket when the process ends,
+// and callers would then be sent to this VM until its silence is detected. It returns
+// when all peers have answered, or after leaveTimeout.
 func (s *Service) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
@@ -204,14 +207,14 @@
 		}
 		calls.Go(func() {
 			if _, err := s.link.Call(ctx, o.To, methodLeave, data); err != nil {
-				s.log.Info().Err(err).Str("vm", o.To.ID).Msg("not told that this VM leaves")
+				s.log.Info().Err(err).Str("vm", o.To.ID).Msg("peer not notified that this VM leaves")
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// serveLeave takes a VM's last word.
+// serveLeave receives the last message of a VM.
 func (s *Service) serveLeave(_ context.Context, from string, body []byte) ([]byte, error) {
 	m, err := Decode(body)
 	if err != nil {
@@ -224,42 +227,43 @@
 	return nil, nil
 }
 
-// Drain tells the others, from the next tick on, that this VM takes no new callers.
+// Drain announces, from the next tick on, that this VM accepts no new callers.
 func (s *Service) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Drain()
 }
 
-// Update sets what the heartbeats say of this VM.
+// Update sets the values that the heartbeats publish: the configuration revision, the
+// slot epoch, and the load in thousandths.
 func (s *Service) Update(revision int64, epoch uint64, load uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Update(revision, epoch, load)
 }
 
-// Self is this VM's digest.
+// Self returns this VM's digest.
 func (s *Service) Self() Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Self()
 }
 
-// Members is Table.Members.
+// Members returns Table.Members.
 func (s *Service) Members(now time.Time) []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Members(now)
 }
 
-// Fresh is Table.Fresh.
+// Fresh returns Table.Fresh.
 func (s *Service) Fresh(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Fresh(now)
 }
 
-// ListAge is Table.ListAge.
+// ListAge returns Table.ListAge.
 func (s *Service) ListAge(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,7 +280,7 @@
 	Members []Member
 }
 
-// Dump reports the state.
+// Dump returns the state of the service at now.
 func (s *Service) Dump(now time.Time) Dump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/member/service_test.go
+++ b/fleet/member/service_test.go
@@ -15,25 +15,25 @@
 	"goldcrestfork/standin/store"
 )
 
-// A VM begins a planned stop while one datagram in ten gets lost. Callers keep an
-// answer for address.Keep; the VM serves for address.Drain. No VM may name it
-// later than address.Spread, or a caller would connect to a VM that is gone.
+// A VM begins a planned stop while one datagram in ten is lost. Callers keep an answer
+// for address.Keep and the VM serves for address.Drain, so no VM may return its address
+// after address.Spread; otherwise a caller would connect to a stopped VM.
 func TestDrainingVMIsNamedNoLongerThanSpread(t *testing.T) {
 	f := newFleet(112, 6)
 	require.Less(t, f.until(90, f.converged), 90)
-	goer := f.tables[vmID(8)]
-	goer.Drain()
+	leaver := f.tables[vmID(8)]
+	leaver.Drain()
 	f.loss = 0.1
 	known := f.until(60, func() bool { return f.allDraining(vmID(8)) })
 	require.LessOrEqual(t, time.Duration(known)*Tick, address.Spread)
 	require.GreaterOrEqual(t, address.Drain, address.Spread+address.Keep)
 	for i := range 12 {
-		require.False(t, f.names(f.tables[vmID(i)], goer.self.CallerAddress))
+		require.False(t, f.offers(f.tables[vmID(i)], leaver.self.CallerAddress))
 	}
 }
 
-// names says whether a VM still answers some caller with the address.
-func (f *fleet) names(by *Table, addr string) bool {
+// offers reports whether a VM still returns the address to some caller.
+func (f *fleet) offers(by *Table, addr string) bool {
 	view := address.View{Candidates: Candidates(by.Self(), by.Members(f.now))}
 	for i := range 20 {
 		for _, named := range address.Choose(address.Question{Caller: fmt.Sprint(i)}, view).Addresses {
@@ -45,8 +45,9 @@
 	return false
 }
 
-// Three VMs over real links; the platform's list is away and each knows one seed.
-// All must see each other alive and be fresh, and see the one that leaves as left.
+// Three VMs run over real links while the platform's list is unavailable and each knows
+// one seed. All must become fresh and see each other alive, and see the one that leaves
+// as left.
 func TestServicesOverRealLinks(t *testing.T) {
 	ids := []string{"a", "b", "c"}
 	set, err := peer.NewTrialSet(time.Now(), ids...)
@@ -92,7 +93,7 @@
 	eventually(ctx, t, func() bool { return services["a"].Dump(time.Now()).States["left"] == 1 })
 }
 
-// eventually polls state until it holds or the context's time is over.
+// eventually polls done until it holds, and fails the test when the context ends first.
 func eventually(ctx context.Context, t *testing.T, done func() bool) {
 	poll := time.NewTicker(10 * time.Millisecond)
 	defer poll.Stop()
@@ -100,7 +101,7 @@
 		select {
 		case <-poll.C:
 		case <-ctx.Done():
-			require.FailNow(t, "did not come about")
+			require.FailNow(t, "condition not met in time")
 		}
 	}
 }
--- a/fleet/member/state.go
+++ b/fleet/member/state.go
@@ -8,19 +8,19 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is what this VM thinks of another.
+// State is this VM's view of another VM's liveness.
 type State uint8
 
 const (
-	// Listed: on the platform's list or in the settings, not heard of yet.
+	// Listed is a VM on the platform's list that has not been in contact yet.
 	Listed State = iota
-	// Alive: its beat moves.
+	// Alive is a VM whose beat increases.
 	Alive
-	// Suspect: a VM that pings it gets no answer; it has some ticks to be heard of again.
+	// Suspect is a VM that did not answer pings; it has some ticks to show a higher beat.
 	Suspect
-	// Down: suspect for too long, or silent.
+	// Down is a VM that was suspect for too long, or silent.
 	Down
-	// Left: it said so; final for the incarnation.
+	// Left is a VM that announced its stop; this state is final for the incarnation.
 	Left
 )
 
@@ -36,11 +36,11 @@
 type trigger uint8
 
 const (
-	heard     trigger = iota // its beat moved
-	suspected                // a watcher gets no answer
-	silent                   // no beat for the time allowed in its state
-	left                     // its last word
-	restarted                // a higher incarnation
+	beatAdvanced trigger = iota // the VM's beat increased
+	suspected                   // a VM that pings it gets no answer
+	silent                      // no beat for the time allowed in its state
+	left                        // the VM's last digest arrived
+	restarted                   // a higher incarnation was seen
 )
 
 // member is one row of the table.
@@ -51,19 +51,20 @@
 	advanced time.Time
 	// changed is when state last changed.
 	changed time.Time
-	// listed: on the platform's last list; leaving: marked so there.
+	// listed is true if the VM is on the platform's last list; leaving, if it is marked
+	// as leaving there.
 	listed, leaving bool
-	// hot is the number of messages that will still carry the digest ahead of its turn.
-	hot int
-	// suspicion is passed on while hotSuspicion lasts.
-	suspicion    Suspicion
-	hotSuspicion int
-	// unanswered is the number of ticks in a row whose ping got no answer.
+	// urgentCopies is the number of messages that will still carry the digest early.
+	urgentCopies int
+	// suspicion is passed on in the next suspicionCopies messages.
+	suspicion       Suspicion
+	suspicionCopies int
+	// unanswered is the number of consecutive ticks whose ping got no answer.
 	unanswered int
 }
 
-// machine is one state machine for all rows; the row at hand is in the context.
-// One machine a row would cost several kilobytes for each of 400 VMs.
+// machine is one state machine shared by all rows; the current row is in the context.
+// One machine per row would take several kilobytes for each of 400 VMs.
 type machine struct{ m *stateless.StateMachine }
 
 type rowKey struct{}
@@ -75,19 +76,19 @@
 			row(ctx).state = s.(State)
 			return nil
 		}, stateless.FiringImmediate)
-	m.Configure(Listed).Permit(heard, Alive).Permit(silent, Down).Permit(left, Left).Ignore(suspected).Permit(restarted, Alive)
-	m.Configure(Alive).Permit(suspected, Suspect).Permit(silent, Down).Permit(left, Left).Ignore(heard).PermitReentry(restarted)
-	m.Configure(Suspect).Permit(heard, Alive).Permit(silent, Down).Permit(left, Left).Ignore(suspected).Permit(restarted, Alive)
-	m.Configure(Down).Permit(heard, Alive).Permit(left, Left).Ignore(suspected).Ignore(silent).Permit(restarted, Alive)
-	// A late digest of a VM that left must not bring it back into address answers.
-	m.Configure(Left).Ignore(heard).Ignore(suspected).Ignore(silent).Ignore(left).Permit(restarted, Alive)
+	m.Configure(Listed).Permit(beatAdvanced, Alive).Permit(silent, Down).Permit(left, Left).Ignore(suspected).Permit(restarted, Alive)
+	m.Configure(Alive).Permit(suspected, Suspect).Permit(silent, Down).Permit(left, Left).Ignore(beatAdvanced).PermitReentry(restarted)
+	m.Configure(Suspect).Permit(beatAdvanced, Alive).Permit(silent, Down).Permit(left, Left).Ignore(suspected).Permit(restarted, Alive)
+	m.Configure(Down).Permit(beatAdvanced, Alive).Permit(left, Left).Ignore(suspected).Ignore(silent).Permit(restarted, Alive)
+	// A late digest of a VM that left must not put the VM back into address answers.
+	m.Configure(Left).Ignore(beatAdvanced).Ignore(suspected).Ignore(silent).Ignore(left).Permit(restarted, Alive)
 	return machine{m: m}
 }
 
 func row(ctx context.Context) *member { return ctx.Value(rowKey{}).(*member) }
 
-// fire moves the row and says whether its state changed. A trigger that its state
-// does not know is a broken invariant.
+// fire applies a trigger to the row and reports whether its state changed. It panics on
+// a trigger that is not defined for the state, which is a broken invariant.
 func (m machine) fire(r *member, t trigger, now time.Time) bool {
 	before := r.state
 	if err := m.m.FireCtx(context.WithValue(context.Background(), rowKey{}, r), t); err != nil {
--- a/fleet/member/sync.go
+++ b/fleet/member/sync.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// methodSync is the peer method that gives all digests a VM knows.
+	// methodSync is the peer method that returns all digests that a VM knows.
 	methodSync = "member.sync"
-	// syncInterval is the time between two whole exchanges. 60 s: at 400 VMs one
-	// has about 35 KB, so that it adds 0.6 KB/s.
+	// syncInterval is the time between two full synchronisations. At 400 VMs one is
+	// about 35 KB, which adds 0.6 KB/s.
 	syncInterval = time.Minute
-	// syncTimeout bounds one exchange.
+	// syncTimeout bounds one synchronisation.
 	syncTimeout = 2 * time.Second
-	// maxSync bounds the digests of one exchange: ten times the fleet to design for.
+	// maxSync bounds the digests of one synchronisation: ten times the fleet size of
+	// the design.
 	maxSync = 4000
 )
 
@@ -35,7 +36,7 @@
 	return mode
 }()
 
-// Digests gives what this VM knows of those that are alive or left, itself first.
+// Digests returns this VM's digest followed by those of the VMs that are alive or left.
 func (t *Table) Digests() []Digest {
 	all := []Digest{t.self}
 	for _, r := range t.rows {
@@ -46,16 +47,15 @@
 	return all
 }
 
-// MergeDigests takes a whole exchange. A VM that starts would otherwise learn of
-// the fleet at the pace of the heartbeats, a few digests a message, and of 400
-// VMs it would know the last after minutes. What it learns here is no news to
-// the others, so it isn't told ahead of its turn.
+// MergeDigests applies the digests of a full synchronisation. By heartbeats alone, with
+// a few digests per message, a new VM would need minutes to learn of the last of 400
+// VMs. The other VMs already know these digests, so they are not sent early.
 func (t *Table) MergeDigests(now time.Time, digests []Digest) {
 	for _, d := range digests {
 		_, known := t.rows[d.ID]
 		t.merge(now, d, false)
 		if r, ok := t.rows[d.ID]; ok && !known {
-			r.hot = 0
+			r.urgentCopies = 0
 		}
 	}
 }
@@ -83,8 +83,8 @@
 	return cbor.Marshal(all)
 }
 
-// keepSync pulls a whole exchange as soon as a peer answers, and then now and again.
-func (s *Service) keepSync(ctx context.Context) {
+// runSync synchronises with a peer as soon as one answers, and then every syncInterval.
+func (s *Service) runSync(ctx context.Context) {
 	for turn := 0; ; turn++ {
 		wait := syncInterval
 		if !s.sync(ctx, turn) {
@@ -98,6 +98,7 @@
 	}
 }
 
+// sync fetches and merges one peer's digests, and reports whether it succeeded.
 func (s *Service) sync(ctx context.Context, turn int) bool {
 	s.mu.Lock()
 	to, ok := s.table.syncTarget(turn)
@@ -122,7 +123,7 @@
 	return true
 }
 
-// syncTarget turns through the pinged VMs that are alive.
+// syncTarget returns a pinged VM that is alive, another one each turn.
 func (t *Table) syncTarget(turn int) (peer.Target, bool) {
 	for i := range t.targets {
 		r := t.rows[t.targets[(turn+i)%len(t.targets)]]
--- a/fleet/member/table_test.go
+++ b/fleet/member/table_test.go
@@ -9,16 +9,16 @@
 	"goldcrestfork/fleet/peer"
 )
 
-// started gives 14 VMs in four data centres that all see each other alive.
+// started returns 14 VMs in four data centres that all see each other alive.
 func started(t *testing.T) *fleet {
 	f := newFleet(14, 4)
 	require.Less(t, f.until(40, f.converged), 40)
 	return f
 }
 
-// Some datagrams get lost, then a VM is killed. The loss may call nobody down. All
-// must notice the kill within a few ticks; the dead VM must not come back by a
-// beat that was still on its way; a new VM on its address takes its place.
+// Some datagrams get lost, then a VM is killed. The loss must not mark any VM down. All
+// must notice the kill within a few ticks; a late beat must not mark the dead VM alive
+// again; a new VM at its address replaces it.
 func TestKilledVMIsNoticedAndReplaced(t *testing.T) {
 	f := newFleet(60, 4)
 	require.Less(t, f.until(60, f.converged), 60)
@@ -36,7 +36,7 @@
 	f.loss = 0
 	f.until(10, func() bool { return false })
 	require.Equal(t, anyDown, total(down))
-	// The last to tick: its watchers know one beat less than those it pinged.
+	// The last VM to tick: its watchers know one beat less than the VMs that it pinged.
 	victim := f.tables[vmID(59)]
 	delete(f.tables, vmID(59))
 	downBefore, denialsBefore := total(down), total(denials)
@@ -48,9 +48,10 @@
 	require.Less(t, f.until(40, f.converged), 40)
 }
 
-// A VM is replaced so fast that nobody suspects the one before it. Its first
-// direct word must push the old id out, or callers are sent to one VM under two names.
-func TestReplacedVMPushesOldIDOut(t *testing.T) {
+// A VM is replaced so fast that no VM suspects its predecessor. The first direct
+// message must mark the old id down; otherwise callers are sent to one VM under two
+// ids.
+func TestReplacedVMMarksOldIDDown(t *testing.T) {
 	f := started(t)
 	address := f.tables[vmID(3)].self.Address
 	delete(f.tables, vmID(3))
@@ -59,67 +60,67 @@
 	require.Equal(t, Down, f.state(vmID(3), vmID(0)))
 }
 
-// A process is paused for 30 ticks and resumed, with answers from before the
-// pause still in its socket. It must not act on its views until a ping sent after
-// the pause is answered, and must not take the others for dead for the silence it slept through.
+// A process is paused for 30 ticks and resumed, with answers from before the pause
+// still in its socket. It must not act on its views until a ping sent after the pause
+// is answered, and must not mark the others down for the silence during the pause.
 func TestPausedVMDoesNotActOnOldViews(t *testing.T) {
 	f := started(t)
-	slept := f.tables[vmID(2)]
-	buffered := slept.Tick(f.now)
+	resumed := f.tables[vmID(2)]
+	buffered := resumed.Tick(f.now)
 	f.paused[vmID(2)] = true
 	for range 30 {
 		f.step()
 	}
 	require.True(t, f.all(vmID(2), Down))
-	require.False(t, slept.Fresh(f.now), "the pause shows before any tick")
+	require.False(t, resumed.Fresh(f.now), "the views are outdated before the first tick after the pause")
 	for _, o := range buffered {
 		answer, ok := f.tables[f.byAddr[o.To.Address]].Receive(f.now, vmID(2), o.Message)
 		require.True(t, ok)
-		slept.Receive(f.now, f.byAddr[o.To.Address], answer)
+		resumed.Receive(f.now, f.byAddr[o.To.Address], answer)
 	}
-	require.False(t, slept.Fresh(f.now), "answers to pings from before the pause prove nothing")
+	require.False(t, resumed.Fresh(f.now), "answers to pings from before the pause must not make the VM fresh")
 	f.paused[vmID(2)] = false
 	f.step()
-	require.True(t, slept.Fresh(f.now))
-	require.Equal(t, 1, slept.Counts.Pauses)
-	require.Zero(t, slept.Counts.WentDown)
+	require.True(t, resumed.Fresh(f.now))
+	require.Equal(t, 1, resumed.Counts.Pauses)
+	require.Zero(t, resumed.Counts.WentDown)
 	require.Less(t, f.until(40, f.converged), 40)
 }
 
-// Messages to one VM get lost while its own arrive, then both ways. It must find
-// itself isolated; deaf, it must not talk the others into suspecting healthy VMs.
-func TestCutVMFindsItselfIsolated(t *testing.T) {
-	deaf := vmID(5)
+// Messages to one VM get lost while its own arrive, then in both directions. The VM
+// must detect that it is isolated, and must not make the others suspect healthy VMs.
+func TestPartitionedVMDetectsIsolation(t *testing.T) {
+	isolated := vmID(5)
 	for name, cut := range map[string]func(from, to string) bool{
-		"to it":     func(_, to string) bool { return to == deaf },
-		"both ways": func(from, to string) bool { return to == deaf || from == deaf },
+		"to it":     func(_, to string) bool { return to == isolated },
+		"both ways": func(from, to string) bool { return to == isolated || from == isolated },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := started(t)
-			f.cut = cut
+			f.partitioned = cut
 			f.until(int(FreshLimit/Tick)+1, func() bool { return false })
-			require.False(t, f.tables[deaf].Fresh(f.now))
+			require.False(t, f.tables[isolated].Fresh(f.now))
 			f.until(20, func() bool { return false })
-			require.Zero(t, f.tables[deaf].Counts.Suspicions, "it doubts itself first")
+			require.Zero(t, f.tables[isolated].Counts.Suspicions, "an isolated VM must not send suspicions")
 			for id, table := range f.tables {
-				if id != deaf {
+				if id != isolated {
 					require.True(t, table.Fresh(f.now))
-					require.LessOrEqual(t, table.Counts.WentDown, 1, "only the deaf VM may go down")
+					require.LessOrEqual(t, table.Counts.WentDown, 1, "only the isolated VM may be marked down")
 				}
 			}
-			f.cut = func(string, string) bool { return false }
+			f.partitioned = func(string, string) bool { return false }
 			require.Less(t, f.until(40, f.converged), 40)
 		})
 	}
 }
 
-// A data centre is cut off from the others for a minute. Each side must drop the
-// other from its view, stay fresh, and find the other again after the cut without
+// A data centre is partitioned from the others for a minute. Each side must drop the
+// other from its view, stay fresh, and find the other again after the partition without
 // any change of the list.
-func TestDataCentreCutOffAndBack(t *testing.T) {
+func TestDataCentrePartitionHeals(t *testing.T) {
 	f := started(t)
 	inside := func(id string) bool { return f.tables[id].self.DataCentre == "dc-01" }
-	f.cut = func(from, to string) bool { return inside(from) != inside(to) }
+	f.partitioned = func(from, to string) bool { return inside(from) != inside(to) }
 	split := func() bool {
 		for a := range f.tables {
 			for b := range f.tables {
@@ -134,23 +135,23 @@
 	for _, table := range f.tables {
 		require.True(t, table.Fresh(f.now))
 	}
-	f.cut = func(string, string) bool { return false }
+	f.partitioned = func(string, string) bool { return false }
 	require.Less(t, f.until(60, f.converged), 60)
 }
 
-// The platform's list is away; a VM starts with only one peer from its settings,
-// and another leaves. All must learn of both, and a late digest of the one that
-// left must not bring it back.
+// The platform's list is unavailable while a VM starts with one seed from its settings
+// and another VM leaves. All must learn of both, and a late digest of the VM that left
+// must not bring it back.
 func TestStartAndLeaveWithoutTheList(t *testing.T) {
 	f := started(t)
 	f.start(vmID(20), "10.9.9.9:7000", "dc-02", incarnation, peer.Target{Address: f.tables[vmID(7)].self.Address})
 	require.Less(t, f.until(40, f.converged), 40)
-	goer := f.tables[vmID(1)]
-	late := goer.self
+	leaver := f.tables[vmID(1)]
+	late := leaver.self
 	late.Beat += 100
-	heardBy := goer.targets[0]
-	f.cut = func(from, to string) bool { return from == vmID(1) && to != heardBy }
-	for _, o := range goer.Leave() {
+	heardBy := leaver.targets[0]
+	f.partitioned = func(from, to string) bool { return from == vmID(1) && to != heardBy }
+	for _, o := range leaver.Leave() {
 		f.deliver(vmID(1), o)
 	}
 	delete(f.tables, vmID(1))
@@ -159,10 +160,11 @@
 	require.Equal(t, Left, f.state(vmID(1), vmID(0)))
 }
 
-// A VM starts among 112. By heartbeats alone it would know the last of them after
-// tens of ticks and could neither answer callers well nor agree on slots; one
-// whole exchange must tell it all, and must not pass for news to the others.
-func TestNewVMKnowsTheFleetByOneExchange(t *testing.T) {
+// A VM starts in a fleet of 112. By heartbeats alone it would know the last VM after
+// tens of ticks, and could neither answer callers well nor agree on slots. One
+// synchronisation must give it all digests, and these must not be sent early to the
+// others.
+func TestNewVMLearnsTheFleetFromOneSync(t *testing.T) {
 	f := newFleet(112, 6)
 	require.Less(t, f.until(90, f.converged), 90)
 	seed := f.tables[vmID(7)]
@@ -178,7 +180,7 @@
 		if r.state == Alive {
 			alive++
 		}
-		if r.hot > 0 {
+		if r.urgentCopies > 0 {
 			hot++
 		}
 	}
@@ -186,8 +188,8 @@
 	require.LessOrEqual(t, hot, heardOf)
 }
 
-// A process restarts on a VM whose wall clock went back. Peers hold the higher
-// incarnation; the new process must rise above it, or it stays unseen for ever.
+// A process restarts on a VM whose wall clock was set back. Peers know the higher
+// incarnation; the new process must rise above it, or it is never seen.
 func TestRestartWithClockSetBack(t *testing.T) {
 	f := started(t)
 	old := f.tables[vmID(6)].self
--- a/fleet/member/tick.go
+++ b/fleet/member/tick.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// ringPeers follow this VM on a ring over the whole fleet: each VM has
-	// exactly so many watchers, mostly in other data centres, so that the loss
-	// of a whole data centre is seen from outside.
+	// ringPeers is the number of VMs that this VM pings as its successors on a ring
+	// over the whole fleet. Each VM has as many watchers, mostly in other data centres,
+	// so that the loss of a whole data centre is detected from outside.
 	ringPeers = 2
-	// nearPeers are preferred by rendezvous in the own data centre; these links
-	// and the ring make a graph in which news travels in about log(n) ticks.
+	// nearPeers is the number of VMs in the own data centre that this VM pings, chosen
+	// by rendezvous hashing. Together with the ring they form a graph in which changes
+	// spread in about log(n) ticks.
 	nearPeers = 2
-	// deafTicks without an answer from any of them make this VM doubt itself
-	// first. It must be below unansweredLimit, or the suspicions leave before the doubt.
-	deafTicks = 2
+	// isolatedTicks without an answer from any VM make this VM consider itself
+	// isolated. It must be below unansweredLimit; otherwise the suspicions would be
+	// sent before that.
+	isolatedTicks = 2
 )
 
-// Tick is one round: it judges silence, and gives the pings to send.
+// Tick runs one round: it detects failed VMs and returns the pings to send.
 func (t *Table) Tick(now time.Time) []Outgoing {
-	t.resume(now)
-	t.ticked = now
-	t.judge(now)
+	t.detectPause(now)
+	t.lastTick = now
+	t.detectFailures(now)
 	t.self.Beat++
 	t.sentAt[t.self.Beat%uint64(len(t.sentAt))] = now
-	if t.stale {
-		t.choose()
+	if t.targetsStale {
+		t.chooseTargets()
 	}
 	var out []Outgoing
 	for _, id := range t.targets {
@@ -55,11 +57,11 @@
 	return Outgoing{To: to, Message: m}
 }
 
-// resume finds a pause of this process by its own clock. Nobody was heard
-// meanwhile, so the silence says nothing about the others: without this a
-// resumed VM would take the whole fleet for dead.
-func (t *Table) resume(now time.Time) {
-	gap := now.Sub(t.ticked)
+// detectPause detects a pause of this process by its own clock. No message was
+// processed meanwhile, so the silence proves nothing about the other VMs: without this
+// a resumed VM would mark the whole fleet as down.
+func (t *Table) detectPause(now time.Time) {
+	gap := now.Sub(t.lastTick)
 	if gap <= pauseTicks*Tick {
 		return
 	}
@@ -73,31 +75,32 @@
 	}
 }
 
-// judge moves VMs that were not heard of.
-func (t *Table) judge(now time.Time) {
-	// A VM that hears from nobody is itself the likely cause: it keeps its
-	// suspicions to itself, or one deaf VM could unsettle the whole fleet.
-	deaf := !within(now, t.contact, deafTicks*Tick)
+// detectFailures updates the state of VMs without recent beats.
+func (t *Table) detectFailures(now time.Time) {
+	// A VM without any answer is itself the likely cause. It sends no suspicions, since
+	// one isolated VM could otherwise make the whole fleet suspect healthy VMs.
+	isolated := !within(now, t.lastContact, isolatedTicks*Tick)
 	for _, r := range t.rows {
-		quiet := now.Sub(r.advanced)
+		silence := now.Sub(r.advanced)
 		switch {
-		case r.state == Alive && r.unanswered >= unansweredLimit && !deaf:
-			t.suspect(now, r.overdue())
-			t.stale = true
+		case r.state == Alive && r.unanswered >= unansweredLimit && !isolated:
+			t.suspect(now, r.newSuspicion())
+			t.targetsStale = true
 		case r.state == Suspect && now.Sub(r.changed) >= t.suspectLimit(),
-			r.state != Suspect && r.state != Down && quiet >= t.silentLimit():
+			r.state != Suspect && r.state != Down && silence >= t.silentLimit():
 			if t.machine.fire(r, silent, now) {
 				t.Counts.WentDown++
-				t.stale = true
+				t.targetsStale = true
 			}
 		}
 	}
 }
 
-// overdue is the suspicion that a live VM has outgrown by now. Others may have
-// heard a beat or two more than this watcher before the VM died; a suspicion at
-// the watcher's own beat would be denied by those and the dead VM come back to life.
-func (m *member) overdue() Suspicion {
+// newSuspicion returns a suspicion that a live VM has already refuted by its current
+// beat. Other VMs may have received a beat or two more than this watcher before the VM
+// died; they would refute a suspicion at the watcher's own beat and mark the dead VM
+// alive again.
+func (m *member) newSuspicion() Suspicion {
 	return Suspicion{
 		ID:          m.digest.ID,
 		Incarnation: m.digest.Incarnation,
@@ -105,9 +108,9 @@
 	}
 }
 
-// choose picks whom to ping.
-func (t *Table) choose() {
-	t.stale = false
+// chooseTargets selects the VMs to ping.
+func (t *Table) chooseTargets() {
+	t.targetsStale = false
 	var all, near []string
 	for id, r := range t.rows {
 		if r.state == Down || r.state == Left || r.digest.Address == "" {
@@ -139,8 +142,8 @@
 	slices.SortFunc(t.order, func(a, b *member) int { return strings.Compare(a.digest.ID, b.digest.ID) })
 }
 
-// ring gives the VMs that follow this one on the fleet's ring. The ring orders by
-// hash, so neighbours on it do not share a rack.
+// ring returns the VMs that follow this one on the fleet's ring. The ring orders by
+// hash, so its neighbours do not share a rack.
 func (t *Table) ring(ids []string) []string {
 	const key = "ring"
 	ranked := rendezvous.Rank(key, append(slices.Clone(ids), t.self.ID))
@@ -152,20 +155,21 @@
 	return next
 }
 
-// nextProbe turns through VMs that are down and still listed, one a tick: after a
-// cut between data centres each side takes the other for down, and would never
-// speak to it again.
+// nextProbe cycles through VMs that are down and still listed, one per tick. After a
+// partition between data centres each side considers the other down and would otherwise
+// never contact it again.
 func (t *Table) nextProbe() *member {
 	for range t.order {
-		t.probe = (t.probe + 1) % len(t.order)
-		if r := t.order[t.probe]; r.state == Down && r.listed && r.digest.Address != "" {
+		t.probeCursor = (t.probeCursor + 1) % len(t.order)
+		if r := t.order[t.probeCursor]; r.state == Down && r.listed && r.digest.Address != "" {
 			return r
 		}
 	}
 	return nil
 }
 
-// fill writes a message: news first, then the next digests in turn, up to maxMessage.
+// fill builds a message: urgent digests first, then the next digests in turn, up to
+// maxMessage.
 func (t *Table) fill(now time.Time) Message {
 	m := Message{From: t.self}
 	room := maxMessage - t.self.size() - suspicionSize
@@ -177,10 +181,10 @@
 func (t *Table) fillSuspicions(m *Message, room int) int {
 	for _, r := range t.order {
 		size := suspicionSize + len(r.digest.ID)
-		if r.hotSuspicion == 0 || size > room || len(m.Suspicions) == maxItems/4 {
+		if r.suspicionCopies == 0 || size > room || len(m.Suspicions) == maxItems/4 {
 			continue
 		}
-		r.hotSuspicion--
+		r.suspicionCopies--
 		room -= size
 		m.Suspicions = append(m.Suspicions, r.suspicion)
 	}
@@ -196,37 +200,38 @@
 		m.Digests = append(m.Digests, r.digest)
 		return true
 	}
-	for _, r := range t.news() {
+	for _, r := range t.urgentRows() {
 		if !add(r) {
 			return
 		}
-		r.hot--
+		r.urgentCopies--
 	}
 	for range t.order {
-		t.cursor = (t.cursor + 1) % len(t.order)
-		r := t.order[t.cursor]
-		// The digest of a VM that is down or was never heard of says nothing new.
-		if r.hot > 0 || r.state != Alive && r.state != Left {
+		t.digestCursor = (t.digestCursor + 1) % len(t.order)
+		r := t.order[t.digestCursor]
+		// The digest of a VM that is down or was never in contact carries no
+		// information.
+		if r.urgentCopies > 0 || r.state != Alive && r.state != Left {
 			continue
 		}
 		if !add(r) {
-			t.cursor = (t.cursor + len(t.order) - 1) % len(t.order)
+			t.digestCursor = (t.digestCursor + len(t.order) - 1) % len(t.order)
 			return
 		}
 	}
 }
 
-// news gives the rows to tell ahead of their turn, the least told first: after a
-// start the whole fleet is news for a while, and word of a VM that drains must not
-// wait behind it. Among equals the order turns.
-func (t *Table) news() []*member {
-	var hot []*member
+// urgentRows returns the rows to send early, the least sent first: after a start the
+// whole fleet is urgent for a while, and the digest of a draining VM must not wait
+// behind it. The order of equal rows rotates.
+func (t *Table) urgentRows() []*member {
+	var urgent []*member
 	for i := range t.order {
-		if r := t.order[(t.hotCursor+i)%len(t.order)]; r.hot > 0 {
-			hot = append(hot, r)
+		if r := t.order[(t.urgentCursor+i)%len(t.order)]; r.urgentCopies > 0 {
+			urgent = append(urgent, r)
 		}
 	}
-	t.hotCursor++
-	slices.SortStableFunc(hot, func(a, b *member) int { return b.hot - a.hot })
-	return hot
+	t.urgentCursor++
+	slices.SortStableFunc(urgent, func(a, b *member) int { return b.urgentCopies - a.urgentCopies })
+	return urgent
 }
