--- a/fleet/peer/call.go
+++ b/fleet/peer/call.go
@@ -16,22 +16,23 @@
 type conn struct {
 	mu      sync.Mutex
 	current *quic.Conn
-	// dialling is closed when the dial under way ends; nil when there is none.
+	// dialling is closed when the current dial ends; nil if there is none.
 	dialling chan struct{}
 	dialErr  error
 	// pending is the newest datagram that waits for the dial.
 	pending []byte
 }
 
+// open reports whether the connection is open.
 func (c *conn) open() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current != nil && c.current.Context().Err() == nil
 }
 
-// conn returns the target's entry. Entries whose connection is gone are swept
-// when a new one is made, so that VMs replaced over months don't pile up.
-func (l *Link) conn(t Target) *conn {
+// connFor returns the target's entry. When it adds one it removes entries whose
+// connection has ended, so that entries of replaced VMs don't accumulate over months.
+func (l *Link) connFor(t Target) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c, ok := l.conns[t]; ok {
@@ -50,8 +51,10 @@
 	return c
 }
 
-// start returns the open connection, or the channel that closes when a dial has ended.
-func (l *Link) start(c *conn, t Target, pending []byte) (*quic.Conn, <-chan struct{}) {
+// openOrDial returns the open connection. Without one it starts a dial if none is under
+// way, and returns the channel that closes when the dial ends. A pending datagram is
+// sent after the dial.
+func (l *Link) openOrDial(c *conn, t Target, pending []byte) (*quic.Conn, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current != nil && c.current.Context().Err() == nil {
@@ -72,7 +75,8 @@
 	return nil, c.dialling
 }
 
-// dial runs apart from its callers: one caller's short deadline must not fail the others that wait.
+// dial runs independently of its callers: one caller's short deadline must not fail the
+// others that wait.
 func (l *Link) dial(c *conn, t Target) {
 	ctx, cancel := context.WithTimeout(l.ctx, handshakeTimeout)
 	defer cancel()
@@ -101,14 +105,15 @@
 	return l.transport.Dial(ctx, addr, l.credentials.clientTLS(t.ID), quicConfig())
 }
 
+// peerName returns the VM id in the peer's certificate.
 func peerName(q *quic.Conn) string {
 	return q.ConnectionState().TLS.PeerCertificates[0].Subject.CommonName
 }
 
-// connect waits for an open connection.
+// connect returns an open connection to the target and waits for a dial if necessary.
 func (l *Link) connect(ctx context.Context, t Target) (*quic.Conn, error) {
-	c := l.conn(t)
-	q, dialled := l.start(c, t, nil)
+	c := l.connFor(t)
+	q, dialled := l.openOrDial(c, t, nil)
 	if q != nil {
 		return q, nil
 	}
@@ -129,7 +134,7 @@
 }
 
 // Call runs method on the target VM and waits for its reply, until the context's
-// deadline (defaultCallTimeout without one). For errors see ErrNotSent,
+// deadline or, without one, for defaultCallTimeout. For its errors see ErrNotSent,
 // ErrOutcomeUnknown and RemoteError.
 func (l *Link) Call(ctx context.Context, t Target, method string, body []byte) ([]byte, error) {
 	if _, ok := ctx.Deadline(); !ok {
@@ -142,6 +147,7 @@
 	return answer, err
 }
 
+// callResult returns the metric label for the error of a call.
 func callResult(err error) string {
 	switch {
 	case err == nil:
@@ -179,14 +185,14 @@
 		return nil, classify(err)
 	}
 	l.metrics.payload.WithLabelValues("out").Add(float64(len(data)))
-	return l.result(answer, peerName(q), method)
+	return l.replyBody(answer, peerName(q), method)
 }
 
-// openStream opens a stream to the target, over a new connection if the one at hand
-// has just ended. The library ends a connection's streams before its context, so that
-// one that a restarted peer has reset may still look open: the caller then saw "not
-// sent" from a VM that was up (29 of 1,800 calls after a restart, six test runs on two cores).
-// Nothing was written yet, hence the second try can't run a call twice.
+// openStream opens a stream to the target, over a new connection if the existing one
+// has just ended. The QUIC library ends a connection's streams before its context, so a
+// connection that a restarted peer has reset may still look open; callers then got
+// ErrNotSent from a VM that was up (29 of 1,800 calls after a restart). Nothing is
+// written before the second attempt, hence it can't run a call twice.
 func (l *Link) openStream(ctx context.Context, t Target) (*quic.Conn, *quic.Stream, error) {
 	q, err := l.connect(ctx, t)
 	if err != nil {
@@ -220,9 +226,9 @@
 	return readFrame(s)
 }
 
-// classify tells a refused handshake from a lost reply. In TLS 1.3 the dialling
-// side is done before the other has judged its certificate, so a refusal comes
-// with the first call; no handler runs before the handshake ends.
+// classify distinguishes a refused handshake from a lost reply. In TLS 1.3 the dialling
+// side completes the handshake before the other has verified its certificate, so a
+// refusal arrives with the first call. No handler runs before the handshake ends.
 func classify(err error) error {
 	var transport *quic.TransportError
 	if errors.As(err, &transport) && transport.Remote && transport.ErrorCode.IsCryptoError() {
@@ -231,7 +237,9 @@
 	return outcomeUnknown(err)
 }
 
-func (l *Link) result(data []byte, vm, method string) ([]byte, error) {
+// replyBody decodes a reply and returns its body, or the error that its status stands
+// for.
+func (l *Link) replyBody(data []byte, vm, method string) ([]byte, error) {
 	l.metrics.payload.WithLabelValues("in").Add(float64(len(data)))
 	answer, err := decodeReply(data)
 	if err != nil {
@@ -247,10 +255,11 @@
 	return answer.Body, nil
 }
 
-// Send sends a datagram, without waiting and without word of its arrival. While
-// there is no connection it starts a dial and keeps the newest payload for it.
+// Send sends a datagram without waiting; its arrival is not confirmed. While there is
+// no connection it starts a dial and keeps only the newest payload, which is sent after
+// the dial.
 func (l *Link) Send(t Target, payload []byte) {
-	if q, _ := l.start(l.conn(t), t, payload); q != nil {
+	if q, _ := l.openOrDial(l.connFor(t), t, payload); q != nil {
 		l.sendDatagram(q, payload)
 	}
 }
--- a/fleet/peer/credentials.go
+++ b/fleet/peer/credentials.go
@@ -11,18 +11,19 @@
 	"github.com/quic-go/quic-go"
 )
 
-// protocol is the ALPN name; a change of the wire format changes it.
+// protocol is the ALPN name; it changes with the wire format.
 const protocol = "goldcrestfork-peer/1"
 
-// Credentials prove a VM to its peers.
+// Credentials authenticate a VM to its peers.
 type Credentials struct {
-	// Certificate names the VM in its subject's common name and carries its key.
+	// Certificate contains the VM id as the subject's common name, and the private key.
 	Certificate tls.Certificate
 	// CA holds the roots that peers' certificates must chain to.
 	CA *x509.CertPool
 }
 
-// LoadCredentials reads PEM files: the CA's certificates, this VM's certificate and its key.
+// LoadCredentials reads the CA's certificates, this VM's certificate and its key from
+// PEM files.
 func LoadCredentials(caFile, certFile, keyFile string) (Credentials, error) {
 	caPEM, err := os.ReadFile(caFile)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return ParseCredentials(caPEM, certPEM, keyPEM)
 }
 
-// ParseCredentials is LoadCredentials for PEM already in memory.
+// ParseCredentials parses PEM data in memory like LoadCredentials.
 func ParseCredentials(caPEM, certPEM, keyPEM []byte) (Credentials, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(caPEM) {
@@ -55,22 +56,22 @@
 	return Credentials{Certificate: cert, CA: pool}, nil
 }
 
-// ID is the VM that the certificate names.
+// ID returns the VM id in the certificate.
 func (c Credentials) ID() string { return c.Certificate.Leaf.Subject.CommonName }
 
-// verify checks a peer's chain and returns the VM it names. Peers are dialled by
-// IP number and addresses are taken over by new VMs, so the name and not the
-// address is what the certificate proves.
+// verify checks a peer's certificate chain and returns the VM id in it. Peers are
+// dialled by IP address and new VMs take over addresses, so the certificate proves the
+// VM id and not the address.
 func (c Credentials) verify(state tls.ConnectionState, usage x509.ExtKeyUsage) (string, error) {
 	if len(state.PeerCertificates) == 0 {
 		return "", errors.New("peer shows no certificate")
 	}
 	leaf := state.PeerCertificates[0]
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
-	options := x509.VerifyOptions{Roots: c.CA, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{usage}}
+	options := x509.VerifyOptions{Roots: c.CA, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{usage}}
 	if _, err := leaf.Verify(options); err != nil {
 		return "", err
 	}
@@ -80,8 +81,9 @@
 	return leaf.Subject.CommonName, nil
 }
 
-// serverTLS asks for a certificate and checks it itself, so that a refusal is
-// counted: with tls.RequireAndVerifyClientCert the listener would not show it.
+// serverTLS returns the server's TLS configuration. It requests a client certificate
+// and verifies it in VerifyConnection, so that refusals are counted; with
+// tls.RequireAndVerifyClientCert the listener would not report them.
 func (c Credentials) serverTLS(refused func()) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -99,14 +101,15 @@
 	}
 }
 
-// clientTLS accepts only the VM id, any VM of the fleet when id is empty.
+// clientTLS returns the TLS configuration of a client that accepts only the VM id, or
+// any VM of the fleet if id is empty.
 func (c Credentials) clientTLS(id string) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{c.Certificate},
 		NextProtos:   []string{protocol},
-		// The library's own check compares names with the address dialled;
-		// VerifyConnection replaces it by chain and VM id.
+		// The default verification compares names with the address dialled;
+		// VerifyConnection verifies the chain and the VM id instead.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			got, err := c.verify(state, x509.ExtKeyUsageServerAuth)
@@ -121,9 +124,9 @@
 	}
 }
 
-// resetKey is the same in each process with this certificate. A restarted
-// process can then end connections of the one before it; without, peers would
-// send into them until they idle out.
+// resetKey returns the stateless reset key, which is the same in each process with this
+// certificate. A restarted process can therefore end the connections of its
+// predecessor; without it peers would send into them until the idle timeout.
 func (c Credentials) resetKey() *quic.StatelessResetKey {
 	key := quic.StatelessResetKey(sha256.Sum256(append([]byte(protocol), c.Certificate.Leaf.Signature...)))
 	return &key
--- a/fleet/peer/errors.go
+++ b/fleet/peer/errors.go
@@ -7,17 +7,19 @@
 
 // Errors of a call; test with errors.Is.
 var (
-	// ErrNotSent: the other VM did not run the call; another VM may be asked.
+	// ErrNotSent means that the other VM did not run the call, so another VM may be
+	// asked.
 	ErrNotSent = errors.New("call not run by the peer")
-	// ErrOutcomeUnknown: the call was sent and no whole reply came; it may have run, or may still run.
+	// ErrOutcomeUnknown means that the call was sent and no complete reply arrived: the
+	// call may have run or may still run.
 	ErrOutcomeUnknown = errors.New("outcome of the call unknown")
 )
 
-// RemoteError is a handler's error: the call ran.
+// RemoteError is an error returned by a handler, hence the call ran.
 type RemoteError struct {
 	// VM is the peer that answered.
 	VM string
-	// Method is what was called.
+	// Method is the method called.
 	Method string
 	// Message is the handler's error text.
 	Message string
--- a/fleet/peer/link.go
+++ b/fleet/peer/link.go
@@ -12,66 +12,68 @@
 )
 
 const (
-	// handshakeTimeout bounds a dial. 1 s: a few round trips between far regions,
-	// and short of every caller's deadline, so that a dead VM costs one second at most.
+	// handshakeTimeout bounds a dial. It allows a few round trips between far regions
+	// and is shorter than every caller's deadline, so that a dead VM costs at most one
+	// second.
 	handshakeTimeout = time.Second
-	// idleTimeout ends a connection without traffic. 5 s: heartbeats come each
-	// second, so a silent one is broken or unused.
+	// idleTimeout ends a connection without traffic. Heartbeats arrive every second, so
+	// a silent connection is broken or unused.
 	idleTimeout = 5 * time.Second
-	// maxStreams bounds one peer's calls in flight; the next ones wait at the
-	// caller, unsent. 256: at 12,000 requests/s over 400 VMs a VM makes 30 a second.
+	// maxStreams bounds one peer's calls in flight; further calls wait at the caller,
+	// unsent. At 12,000 requests/s over 400 VMs a VM makes 30 calls a second.
 	maxStreams = 256
-	// maxHandlers bounds handlers over all peers, so that peers can't exhaust the
-	// VM's memory; beyond it a call is answered "not run" at once.
+	// maxHandlers bounds the handlers of all peers together, so that peers can't
+	// exhaust the VM's memory. A call beyond it is answered with statusNotRun at once.
 	maxHandlers = 1024
-	// window bounds what one connection buffers: memory stays constant in a peer's speed.
-	window = 2 * MaxBody
-	// MaxDatagram is the largest datagram payload in bytes: what fits QUIC's
-	// smallest packet (1,200) with room for its headers.
+	// receiveWindow bounds the bytes that one connection buffers, so that memory use
+	// does not depend on a peer's sending rate.
+	receiveWindow = 2 * MaxBody
+	// MaxDatagram is the largest datagram payload in bytes: QUIC's smallest packet
+	// (1,200) less the headers.
 	MaxDatagram = 1100
-	// defaultCallTimeout is for calls whose context has no deadline.
+	// defaultCallTimeout bounds calls whose context has no deadline.
 	defaultCallTimeout = 5 * time.Second
 )
 
-// Handler runs one call from the VM named by from's certificate. Its context
-// ends when the caller's time is over or the caller is gone.
+// Handler runs one call. from is the VM id in the caller's certificate. The context
+// ends when the caller's time is over or the caller disconnects.
 type Handler func(ctx context.Context, from string, body []byte) ([]byte, error)
 
-// DatagramHandler takes one datagram; it must not block. reply sends one back
-// over the same connection, which spares a second connection for each pair.
+// DatagramHandler handles one datagram and must not block. reply sends one back over
+// the same connection, which saves a second connection per pair of VMs.
 type DatagramHandler func(from string, payload []byte, reply func([]byte))
 
-// Target is a VM to talk to.
+// Target identifies a VM to call or to send datagrams to.
 type Target struct {
-	// ID is the VM expected there; when empty any VM of the fleet is accepted.
-	// With an ID, a VM that took over the address of another is told apart.
+	// ID is the VM expected at the address; if empty, any VM of the fleet is accepted.
+	// With an ID, a VM that took over another one's address is refused.
 	ID string
 	// Address is "ip:port".
 	Address string
 }
 
-// Options are a link's settings.
+// Options configure a Link.
 type Options struct {
-	// Listen is the UDP "ip:port"; port 0 takes a free one.
+	// Listen is the UDP "ip:port" to listen on; port 0 selects a free one.
 	Listen string
-	// Credentials prove this VM to the others.
+	// Credentials authenticate this VM to the others.
 	Credentials Credentials
-	// Registerer takes the metrics; nil registers none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
-// Link is one VM's end of the links to all others.
+// Link is one VM's endpoint for the connections with all other VMs.
 type Link struct {
-	credentials Credentials
-	metrics     *metrics
-	udp         net.PacketConn
-	transport   *quic.Transport
-	listener    *quic.Listener
-	handlers    chan struct{}
-	ctx         context.Context
-	stop        context.CancelFunc
-
-	// tasksMu guards closed and is a leaf: tasks are started under conn.mu.
+	credentials  Credentials
+	metrics      *metrics
+	udp          net.PacketConn
+	transport    *quic.Transport
+	listener     *quic.Listener
+	handlerSlots chan struct{}
+	ctx          context.Context
+	stop         context.CancelFunc
+
+	// tasksMu guards closed and is a leaf lock, since tasks are started under conn.mu.
 	tasksMu sync.Mutex
 	closed  bool
 	tasks   sync.WaitGroup
@@ -82,7 +84,7 @@
 	conns      map[Target]*conn
 }
 
-// Listen opens the link.
+// Listen opens the UDP port and starts to accept connections.
 func Listen(o Options) (*Link, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", o.Listen)
 	if err != nil {
@@ -105,16 +107,16 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	l := &Link{
-		credentials: o.Credentials,
-		metrics:     m,
-		udp:         udp,
-		transport:   transport,
-		listener:    listener,
-		handlers:    make(chan struct{}, maxHandlers),
-		ctx:         ctx,
-		stop:        stop,
-		methods:     make(map[string]Handler),
-		conns:       make(map[Target]*conn),
+		credentials:  o.Credentials,
+		metrics:      m,
+		udp:          udp,
+		transport:    transport,
+		listener:     listener,
+		handlerSlots: make(chan struct{}, maxHandlers),
+		ctx:          ctx,
+		stop:         stop,
+		methods:      make(map[string]Handler),
+		conns:        make(map[Target]*conn),
 	}
 	l.spawn(l.accept)
 	return l, nil
@@ -128,13 +130,13 @@
 		MaxIncomingUniStreams:          -1,
 		InitialStreamReceiveWindow:     64 << 10,
 		InitialConnectionReceiveWindow: 128 << 10,
-		MaxStreamReceiveWindow:         window,
-		MaxConnectionReceiveWindow:     window,
+		MaxStreamReceiveWindow:         receiveWindow,
+		MaxConnectionReceiveWindow:     receiveWindow,
 		EnableDatagrams:                true,
 	}
 }
 
-// Register sets the handler of a method; a second one for the same method is a bug.
+// Register sets the handler of a method. It panics if the method already has one.
 func (l *Link) Register(method string, h Handler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,17 +146,18 @@
 	l.methods[method] = h
 }
 
-// OnDatagram sets the handler of datagrams; those before it are dropped.
+// OnDatagram sets the handler of datagrams. Datagrams that arrive without a handler are
+// dropped.
 func (l *Link) OnDatagram(h DatagramHandler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.onDatagram = h
 }
 
-// ID is this VM as its certificate names it.
+// ID returns the VM id in the link's certificate.
 func (l *Link) ID() string { return l.credentials.ID() }
 
-// Addr is the address in use, "ip:port".
+// Addr returns the "ip:port" on which the link listens.
 func (l *Link) Addr() string { return l.udp.LocalAddr().String() }
 
 // Close ends all connections and waits for the handlers.
@@ -174,7 +177,7 @@
 	return trace.Wrap(err)
 }
 
-// spawn runs f unless the link is closed.
+// spawn runs f in a goroutine and returns true, or returns false if the link is closed.
 func (l *Link) spawn(f func()) bool {
 	l.tasksMu.Lock()
 	defer l.tasksMu.Unlock()
@@ -194,7 +197,7 @@
 	Methods     int
 }
 
-// Dump reports the link's state.
+// Dump returns the link's state.
 func (l *Link) Dump() Dump {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/fleet/peer/message.go
+++ b/fleet/peer/message.go
@@ -9,33 +9,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the largest body of a call or reply, in bytes. Grounds: the
-// platform's values end at 1 MB, and nothing larger is passed between VMs.
+// MaxBody is the largest body of a call or reply, in bytes. The platform's values are
+// limited to 1 MB, and nothing larger is passed between VMs.
 const MaxBody = 1 << 20
 
-// maxFrame is MaxBody with room for the envelope.
+// maxFrame bounds an encoded message: MaxBody plus the envelope.
 const maxFrame = MaxBody + 4096
 
-// maxMethod bounds a method's name, in bytes.
+// maxMethod bounds a method name, in bytes.
 const maxMethod = 128
 
-// request is one call on the wire; it ends with the stream's send side.
+// request is one call on the wire; it ends with the send side of the stream.
 type request struct {
 	Method string `cbor:"1,keyasint"`
-	// Budget is what the caller will still wait. A duration and not a time, since
-	// the clocks of two VMs are never compared.
+	// Budget is how long the caller will still wait. It is a duration and not a time,
+	// since the clocks of two VMs are never compared.
 	Budget time.Duration `cbor:"2,keyasint"`
 	Body   []byte        `cbor:"3,keyasint"`
 }
 
-// status says how far the other VM got.
+// status says whether a call ran and succeeded.
 type status uint8
 
 const (
 	statusOK status = iota
-	// statusFailed: the handler ran and returned an error.
+	// statusFailed means that the handler ran and returned an error.
 	statusFailed
-	// statusNotRun: no handler was started (unknown method, too many calls, closing).
+	// statusNotRun means that no handler was started (unknown method, too many calls,
+	// closing).
 	statusNotRun
 )
 
@@ -46,8 +47,8 @@
 	Body   []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// decoding refuses what our encoder never writes, so that a broken peer is
-// noticed at the envelope and can't make a VM allocate without bound.
+// decoding rejects what this package's encoder never writes, so that a faulty peer is
+// detected at the envelope and can't make a VM allocate without bound.
 var decoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -93,8 +94,8 @@
 	return r, nil
 }
 
-// readFrame reads to the end of the stream. A stream that was reset is an error
-// and never a shorter message.
+// readFrame reads to the end of the stream. A stream that was reset gives an error and
+// never a shorter message.
 func readFrame(r io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, maxFrame+1))
 	if err != nil {
--- a/fleet/peer/metrics.go
+++ b/fleet/peer/metrics.go
@@ -2,17 +2,19 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts the link's work.
+// metrics holds the Prometheus collectors of the package.
 type metrics struct {
-	// goldcrest_peer_refused_total: peers without a certificate of the fleet's CA.
+	// refused is goldcrest_peer_refused_total: peers without a certificate of the
+	// fleet's CA.
 	refused prometheus.Counter
-	// goldcrest_peer_calls_total by side (sent, served) and result.
+	// calls is goldcrest_peer_calls_total by side (sent, served) and result.
 	calls *prometheus.CounterVec
-	// goldcrest_peer_datagrams_total by result (sent, received, dropped).
+	// datagrams is goldcrest_peer_datagrams_total by result (sent, received, dropped).
 	datagrams *prometheus.CounterVec
-	// goldcrest_peer_payload_bytes_total by direction (out, in), before QUIC's own bytes.
+	// payload is goldcrest_peer_payload_bytes_total by direction (out, in), without
+	// QUIC's overhead.
 	payload *prometheus.CounterVec
-	// goldcrest_peer_malformed_total: messages that could not be decoded.
+	// malformed is goldcrest_peer_malformed_total: messages that could not be decoded.
 	malformed prometheus.Counter
 }
 
@@ -24,7 +26,7 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 	}
 	m := &metrics{
-		refused:   counter("goldcrest_peer_refused_total", "Peers refused for want of a certificate of the fleet's CA."),
+		refused:   counter("goldcrest_peer_refused_total", "Peers refused without a certificate of the fleet's CA."),
 		malformed: counter("goldcrest_peer_malformed_total", "Peer messages that could not be decoded."),
 		calls:     vec("goldcrest_peer_calls_total", "Peer calls by side and result.", "side", "result"),
 		datagrams: vec("goldcrest_peer_datagrams_total", "Peer datagrams by result.", "result"),
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -21,15 +21,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// pair gives links a and b, which trust each other, and a certificate set that neither trusts.
-func pair(t *testing.T) (a, b *Link, stranger Credentials) {
+// pair returns links a and b, which trust each other, and credentials that neither
+// trusts.
+func pair(t *testing.T) (a, b *Link, foreign Credentials) {
 	set, err := NewTrialSet(time.Now(), "a", "b")
 	require.NoError(t, err)
 	other, err := NewTrialSet(time.Now(), "a")
 	require.NoError(t, err)
-	stranger, err = other.Credentials("a")
+	foreign, err = other.Credentials("a")
 	require.NoError(t, err)
-	return open(t, set, "a"), open(t, set, "b"), stranger
+	return open(t, set, "a"), open(t, set, "b"), foreign
 }
 
 func open(t *testing.T, set TrialSet, id string) *Link {
@@ -43,14 +44,15 @@
 
 func target(l *Link) Target { return Target{ID: l.ID(), Address: l.Addr()} }
 
-// A caller decides by the error alone whether it may ask another VM. Each row is
-// one way for a call to end; calling a sent call "not sent" would run an action twice.
-func TestCallTellsWhetherItRan(t *testing.T) {
+// A caller decides by the error alone whether it may ask another VM. Each row is one
+// way in which a call ends; reporting a call that was sent as "not sent" would run an
+// action twice.
+func TestCallErrorTellsWhetherItRan(t *testing.T) {
 	a, b, _ := pair(t)
-	gone := Target{ID: "b", Address: freeAddress(t)}
+	unreachable := Target{ID: "b", Address: freeAddress(t)}
 	entered := make(chan struct{})
 	a.Register("echo", func(context.Context, string, []byte) ([]byte, error) {
-		t.Error("a call meant for b ran on the VM that took its address")
+		t.Error("a call to b ran on the VM that took over its address")
 		return nil, nil
 	})
 	b.Register("echo", func(_ context.Context, from string, body []byte) ([]byte, error) {
@@ -86,15 +88,15 @@
 			require.Equal(t, "no slot", remote.Message)
 		}},
 		{"no such method", target(b), "none", nil, requireIs(ErrNotSent)},
-		{"nobody there", gone, "echo", nil, requireIs(ErrNotSent)},
-		{"replaced VM on the address", Target{ID: "b", Address: a.Addr()}, "echo", nil, requireIs(ErrNotSent)},
+		{"no listener at the address", unreachable, "echo", nil, requireIs(ErrNotSent)},
+		{"another VM at the address", Target{ID: "b", Address: a.Addr()}, "echo", nil, requireIs(ErrNotSent)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer, err := a.Call(context.Background(), c.target, c.method, c.body)
 			c.check(t, answer, err)
 		})
 	}
-	t.Run("caller gives up", func(t *testing.T) {
+	t.Run("caller cancels", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			<-entered
@@ -116,16 +118,17 @@
 	return c.LocalAddr().String()
 }
 
-// A process without a certificate of the fleet's CA reaches the peer port. It
-// must not run a method, the refusal must be counted, and the caller's error must be "not sent".
+// A process without a certificate of the fleet's CA connects to the peer port. It must
+// not run a method, the refusal must be counted, and the caller's error must be
+// ErrNotSent.
 func TestPeerWithoutCertificateIsRefused(t *testing.T) {
-	_, b, stranger := pair(t)
+	_, b, foreign := pair(t)
 	b.Register("echo", func(context.Context, string, []byte) ([]byte, error) {
-		t.Error("a stranger's call ran")
+		t.Error("a call without a valid certificate ran")
 		return nil, nil
 	})
 	none := &tls.Config{InsecureSkipVerify: true, NextProtos: []string{protocol}}
-	wrong := stranger.clientTLS("")
+	wrong := foreign.clientTLS("")
 	wrong.VerifyConnection = nil
 	for i, conf := range []*tls.Config{none, wrong} {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -140,34 +143,34 @@
 	}
 }
 
-// A VM's process restarts with the same id and address. Peers hold a connection
-// to the old process; calls must reach the new one without waiting for the idle timeout.
+// A VM's process restarts with the same id and address. Peers hold a connection to the
+// old process; calls must reach the new one without waiting for the idle timeout.
 func TestRestartedPeerIsReached(t *testing.T) {
 	set, err := NewTrialSet(time.Now(), "a", "b")
 	require.NoError(t, err)
 	a, b := open(t, set, "a"), open(t, set, "b")
 	pong := func(context.Context, string, []byte) ([]byte, error) { return nil, nil }
 	b.Register("ping", pong)
-	where := target(b)
-	_, err = a.Call(context.Background(), where, "ping", nil)
+	to := target(b)
+	_, err = a.Call(context.Background(), to, "ping", nil)
 	require.NoError(t, err)
-	require.NoError(t, b.udp.Close(), "the process dies without a word")
+	require.NoError(t, b.udp.Close(), "the process must end without closing its connections")
 	_ = b.Close()
 	creds, err := set.Credentials("b")
 	require.NoError(t, err)
-	again, err := Listen(Options{Listen: where.Address, Credentials: creds})
+	restarted, err := Listen(Options{Listen: to.Address, Credentials: creds})
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = again.Close() })
-	again.Register("ping", pong)
-	_, err = a.Call(context.Background(), where, "ping", nil)
+	t.Cleanup(func() { _ = restarted.Close() })
+	restarted.Register("ping", pong)
+	_, err = a.Call(context.Background(), to, "ping", nil)
 	var reset *quic.StatelessResetError
-	require.ErrorAs(t, err, &reset, "the old connection ends at the first packet")
-	_, err = a.Call(context.Background(), where, "ping", nil)
+	require.ErrorAs(t, err, &reset, "the old connection must end at the first packet")
+	_, err = a.Call(context.Background(), to, "ping", nil)
 	require.NoError(t, err)
 }
 
-// A datagram sent before there is a connection arrives when the dial is done,
-// and its answer comes back over the same connection.
+// A datagram sent before there is a connection arrives after the dial, and its answer
+// comes back over the same connection.
 func TestDatagramAndAnswer(t *testing.T) {
 	a, b, _ := pair(t)
 	got := make(chan string, 1)
@@ -199,8 +202,8 @@
 	})
 }
 
-// BenchmarkHeartbeat measures one ping and its answer of 500 bytes each over
-// loopback, both sides in this process.
+// BenchmarkHeartbeat measures a ping and its answer of 500 bytes each over loopback,
+// with both sides in this process.
 func BenchmarkHeartbeat(b *testing.B) {
 	set, err := NewTrialSet(time.Now(), "a", "b")
 	require.NoError(b, err)
@@ -227,9 +230,9 @@
 	b.ReportMetric(float64(stats.PacketsSent)/float64(b.N), "packets-out/op")
 }
 
-// Heartbeats go to many new VMs at a time: each new target sweeps the gone ones
-// while others start their dials. The link once stood still here, since the two
-// took its locks in opposite order; callers saw a VM that answered nobody.
+// Datagrams go to many new targets at a time: each new target removes ended connections
+// while others start their dials. If the two take the link's locks in opposite order,
+// the link deadlocks and callers get no answer.
 func TestManyNewTargetsAtOnce(t *testing.T) {
 	a, _, _ := pair(t)
 	address := freeAddress(t)
--- a/fleet/peer/serve.go
+++ b/fleet/peer/serve.go
@@ -9,10 +9,11 @@
 	"github.com/quic-go/quic-go"
 )
 
-// readTimeout bounds the arrival of one request, so that a peer that stalls
-// halfway can't hold a handler's place.
+// readTimeout bounds the arrival of one request, so that a peer that stalls halfway
+// can't occupy a handler slot. It also bounds the sending of the reply.
 const readTimeout = 5 * time.Second
 
+// accept accepts connections until the link closes.
 func (l *Link) accept() {
 	for {
 		c, err := l.listener.Accept(l.ctx)
@@ -40,9 +41,9 @@
 	}
 }
 
-// serve answers one call. The reply names "not run" wherever no handler was started.
+// serve answers one call. The reply has statusNotRun whenever no handler was started.
 func (l *Link) serve(s *quic.Stream, from string) {
-	answer, result := l.answer(s, from)
+	answer, result := l.handle(s, from)
 	l.metrics.calls.WithLabelValues("served", result).Inc()
 	data, err := cbor.Marshal(answer)
 	if err != nil || len(data) > maxFrame {
@@ -58,10 +59,12 @@
 	_ = s.Close()
 }
 
-func (l *Link) answer(s *quic.Stream, from string) (reply, string) {
+// handle reads and runs one call, and returns the reply and the metric label of its
+// result.
+func (l *Link) handle(s *quic.Stream, from string) (reply, string) {
 	select {
-	case l.handlers <- struct{}{}:
-		defer func() { <-l.handlers }()
+	case l.handlerSlots <- struct{}{}:
+		defer func() { <-l.handlerSlots }()
 	default:
 		s.CancelRead(1)
 		return reply{Status: statusNotRun, Error: "too many calls"}, "busy"
--- a/fleet/peer/trial.go
+++ b/fleet/peer/trial.go
@@ -13,12 +13,12 @@
 	"github.com/gravitational/trace"
 )
 
-// trialLife is how long certificates of a trial set hold: long enough for a
-// trial, too short for someone to forget them in production.
-const trialLife = 7 * 24 * time.Hour
+// trialValidity is how long the certificates of a trial set are valid: long enough for
+// a trial, and too short to remain in production unnoticed.
+const trialValidity = 7 * 24 * time.Hour
 
-// TrialSet is a CA with a certificate and key for each VM, in PEM, to try the
-// system out and for tests. The CA's key is not kept, so nobody can add to it.
+// TrialSet is a CA with a certificate and key per VM, in PEM, for trials and tests. The
+// CA's key is discarded, so no further VM can be added.
 type TrialSet struct {
 	CA []byte
 	// VMs is keyed by VM id.
@@ -31,13 +31,13 @@
 	Key         []byte
 }
 
-// NewTrialSet makes a fresh set, valid from an hour before now.
+// NewTrialSet creates a set that is valid from one hour before now.
 func NewTrialSet(now time.Time, ids ...string) (TrialSet, error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return TrialSet{}, trace.Wrap(err)
 	}
-	ca := template(now, "goldcrestfork trial CA", 1)
+	ca := certTemplate(now, "goldcrestfork trial CA", 1)
 	ca.IsCA = true
 	ca.BasicConstraintsValid = true
 	ca.KeyUsage = x509.KeyUsageCertSign
@@ -47,7 +47,7 @@
 	}
 	set := TrialSet{CA: pemBlock("CERTIFICATE", der), VMs: make(map[string]TrialVM, len(ids))}
 	for i, id := range ids {
-		vm, err := newTrialVM(template(now, id, int64(i)+2), ca, caKey)
+		vm, err := newTrialVM(certTemplate(now, id, int64(i)+2), ca, caKey)
 		if err != nil {
 			return TrialSet{}, trace.Wrap(err, "VM %s", id)
 		}
@@ -56,7 +56,7 @@
 	return set, nil
 }
 
-// Credentials gives one VM's credentials from the set.
+// Credentials returns one VM's credentials.
 func (s TrialSet) Credentials(id string) (Credentials, error) {
 	vm, ok := s.VMs[id]
 	if !ok {
@@ -83,12 +83,12 @@
 	return TrialVM{Certificate: pemBlock("CERTIFICATE", der), Key: pemBlock("PRIVATE KEY", keyDER)}, nil
 }
 
-func template(now time.Time, name string, serial int64) *x509.Certificate {
+func certTemplate(now time.Time, name string, serial int64) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(trialLife),
+		NotAfter:     now.Add(trialValidity),
 	}
 }
 
