--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	start, err := c.Begin(t.Context(), refund, refundBody)
 	require.NoError(t, err)
-	require.NotNil(t, start.Ticket, "told %+v", start.Repeat)
+	require.NotNil(t, start.Ticket, "got the repeat %+v", start.Repeat)
 	require.Nil(t, start.Repeat)
 	return start.Ticket
 }
@@ -38,7 +38,7 @@
 	t.Helper()
 	start, err := c.Begin(t.Context(), refund, refundBody)
 	require.NoError(t, err)
-	require.Nil(t, start.Ticket, "the request would run again")
+	require.Nil(t, start.Ticket, "a repeat got a ticket")
 	require.Equal(t, want, start.Repeat.State)
 	return start.Repeat
 }
@@ -60,17 +60,17 @@
 		require.ErrorIs(t, err, ErrOtherRequest)
 
 		require.NoError(t, a.CloseNotRun(t.Context(), ticket))
-		require.ErrorIs(t, a.Finish(t.Context(), ticket, booked), ErrStale)
+		require.ErrorIs(t, a.Finish(t.Context(), ticket, booked), ErrClaimClosed)
 		ticket = mustBegin(t, b)
 		require.EqualValues(t, 2, ticket.Generation)
 		require.NoError(t, b.Finish(t.Context(), ticket, Outcome{}))
 		mustRepeat(t, a, StateUnknown)
 		require.NoError(t, b.Finish(t.Context(), ticket, booked))
 		require.NoError(t, b.Finish(t.Context(), ticket, booked))
-		require.ErrorIs(t, b.CloseNotRun(t.Context(), ticket), ErrStale)
-		told := mustRepeat(t, a, StateDone)
-		require.Equal(t, "booked", string(told.Answer))
-		require.Equal(t, 201, told.Status)
+		require.ErrorIs(t, b.CloseNotRun(t.Context(), ticket), ErrClaimClosed)
+		repeat := mustRepeat(t, a, StateDone)
+		require.Equal(t, "booked", string(repeat.Answer))
+		require.Equal(t, 201, repeat.Status)
 		_, err = a.Begin(t.Context(), refund, refundBody+1)
 		require.ErrorIs(t, err, ErrOtherRequest)
 	})
@@ -81,17 +81,17 @@
 	out := booked
 	out.Answer = make([]byte, DefaultMaxValue+1)
 	require.NoError(t, c.Finish(t.Context(), mustBegin(t, c), out))
-	told := mustRepeat(t, c, StateDone)
-	require.True(t, told.AnswerOmitted)
-	require.Empty(t, told.Answer)
+	repeat := mustRepeat(t, c, StateDone)
+	require.True(t, repeat.AnswerOmitted)
+	require.Empty(t, repeat.Answer)
 	_, _, err := c.ledger.Decide(t.Context(), Key{}, out.Answer, 1)
 	require.ErrorIs(t, err, ErrTooLong)
 }
 
-// The caller's time runs out while the claim's write hangs in the platform,
-// which carries it out seconds later. The caller was told "not run", which is
-// true; but unless the write is fenced out or its claim closed, every repeat
-// would be told "unknown" for a day. before says what the key went through.
+// Guards against claims that no caller can use. A caller's timeout ends while the claim's write
+// is delayed in the platform, which carries it out seconds later. The answer "not run" is true,
+// but unless the write is excluded or the claim closed, every repeat gets "unknown" for a day.
+// The table's functions set up the state of the key.
 func TestAbandonedBeginIsClosed(t *testing.T) {
 	for name, before := range map[string]func(*testing.T, *Claims){
 		"new key":       func(*testing.T, *Claims) {},
@@ -115,8 +115,8 @@
 	}
 }
 
-// The owner of a shard freezes with a begin in its queue; the origin gives up
-// and closes its claim. The thawed owner must not open it again.
+// Guards against a claim that is opened again after its close. A shard's owner freezes with a
+// begin in its queue, the origin gives up and closes its claim, and the owner resumes.
 func TestBeginAfterItsOwnClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -133,9 +133,9 @@
 	})
 }
 
-// The store fails while a request runs. Its caller gets the answer; a repeat
-// elsewhere is told "unknown" and nothing worse, and the recorded answer once
-// the store is back. A VM that stops in the outage says what it could not record.
+// The store fails while a request runs. The request's caller gets the answer; a repeat on
+// another VM gets "unknown", and the recorded answer once the store is back. A VM that stops
+// during the outage reports how many outcomes it could not record.
 func TestFinishInOutage(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -148,9 +148,9 @@
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				require.Equal(t, 1, a.Close(ctx))
-				require.EqualValues(t, 1, testutil.ToFloat64(a.ledger.metrics.lost))
+				require.EqualValues(t, 1, testutil.ToFloat64(a.ledger.metrics.settleLost))
 			}
-			time.Sleep(10*time.Minute + settlePause/2) // between two tries of a
+			time.Sleep(10*time.Minute + settleInterval/2) // between two attempts of a
 			s.SetFaults(store.Faults{})
 			want := StateUnknown
 			mustRepeat(t, b, want)
@@ -163,7 +163,8 @@
 	}
 }
 
-// With the store and the owner out of reach alike, a request is refused truthfully.
+// Guards against a refusal that takes effect later: the store and the shard's owner are both
+// unreachable.
 func TestRefusalIsWithoutEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -176,7 +177,7 @@
 		}
 		require.Positive(t, a.ledger.Dump().RefusingFor)
 		s.SetFaults(store.Faults{})
-		time.Sleep(lastPause)
+		time.Sleep(maxPause)
 		require.EqualValues(t, 1, mustBegin(t, a).Generation)
 		require.Zero(t, a.Close(t.Context()))
 	})
@@ -192,8 +193,8 @@
 	require.Error(t, err)
 }
 
-// The platform refuses calls over its rate for a while. That is no outage:
-// callers wait and are served, and the other shards are not refused.
+// Guards against treating refusals over the platform's rate as an outage: callers wait and get
+// their result, and other shards are not refused.
 func TestOverRateIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -206,8 +207,8 @@
 	})
 }
 
-// The owner's queue is too long. Its origin must refuse rather than write past
-// it: otherwise every VM adds its own writes to the shard that has too many.
+// Guards against VMs that commit by themselves while the shard's owner is busy. Each VM would
+// then add its writes to a shard that has too many; the origin must refuse instead.
 func TestBusyOwnerIsNotOvertaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -215,10 +216,10 @@
 		net := &network{peers: map[string]*Ledger{"b": owner}, owners: []string{"b"}}
 		a := NewClaims(New(s, link{net: net, self: "a"}, nil, Settings{VM: "a", Incarnation: 1}), nil)
 		s.SetRates(0.01, 0)
-		decideAll(t, owner, keysOfShard(refund.digest().Shard(), 1), 24)
+		requireDecided(t, owner, keysOfShard(refund.digest().Shard(), 1), 24)
 		_, err := a.Begin(t.Context(), refund, refundBody)
 		require.ErrorIs(t, err, ErrUnavailable)
-		require.Empty(t, a.ledger.Dump().Shards, "nothing was tried here")
+		require.Empty(t, a.ledger.Dump().Shards, "the origin committed by itself")
 		owner.Wait()
 	})
 }
--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -8,120 +8,122 @@
 	"goldcrestfork/durable"
 )
 
-// step is how one attempt at a commit ended.
-type step int
+// attemptResult is the outcome of one attempt to commit a batch.
+type attemptResult int
 
 const (
-	stepDone      step = iota // all calls have their reply
-	stepPace                  // a write is due; wait for its turn
-	stepReplan                // a caller left before the write
-	stepAgain                 // the state is newer now
-	stepConflict              // another VM wrote first
-	stepUnknown               // a write's reply was lost
-	stepFailed                // the platform took nothing
-	stepThrottled             // the platform has too many calls
-	stepBroken                // an object could not be read as what it should be
+	attemptDone      attemptResult = iota // all calls have their results
+	attemptAwaitTurn                      // a write is needed and must wait for its turn
+	attemptReplan                         // a caller stopped waiting before the write
+	attemptReloaded                       // the state was reloaded
+	attemptConflict                       // another VM wrote first
+	attemptUnknown                        // the reply to a write was lost
+	attemptFailed                         // the platform is unavailable and wrote nothing
+	attemptThrottled                      // the platform refused the call over its rate limit
+	attemptBroken                         // an object could not be decoded, encoded or found
 )
 
-// Waits between attempts. Grounds: the platform answers in milliseconds, so a
-// conflict's loser waits for a few writes at most (longer waits cost 40 writers
-// without a hint more than the conflicts do: docs/design/ledger.md); an outage
-// lasts longer than any caller waits, so a few tries tell it from a lost packet.
+// Backoff between attempts. The platform answers in milliseconds, so the loser of a conflict
+// waits for a few writes at most; with 40 writers that don't forward to an owner, longer waits
+// cost more than the conflicts (docs/design/ledger.md). An outage lasts longer than any caller
+// waits, so a few attempts distinguish it from a lost packet.
 const (
-	firstBackoff = 5 * time.Millisecond
-	lastConflict = 40 * time.Millisecond
-	lastBackoff  = 500 * time.Millisecond
-	failedTries  = 3
+	minBackoff         = 5 * time.Millisecond
+	maxConflictBackoff = 40 * time.Millisecond
+	maxBackoff         = 500 * time.Millisecond
+	maxAttempts        = 3
 )
 
-// commit brings a batch to its end: each call gets results, or an error, or has left.
+// commit retries a batch until each call has its results or an error.
 func (s *shard) commit(batch []*call) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	failures := 0
-	read := false  // the state was read after the batch's last call came
-	paced := false // the write that is due has had its turn
+	fresh := false   // the state was loaded after the last call joined the batch
+	hadTurn := false // the next write has waited for its turn
 	for {
 		before := len(batch)
 		s.mu.Lock()
-		batch = s.join(batch)
+		batch = s.takeQueued(batch)
 		s.mu.Unlock()
-		read = read && len(batch) == before
-		if batch = s.present(batch); len(batch) == 0 {
+		fresh = fresh && len(batch) == before
+		if batch = s.dropAbandoned(batch); len(batch) == 0 {
 			return
 		}
-		outcome := s.attempt(batch, read, paced)
-		paced = outcome == stepPace || outcome == stepReplan
+		outcome := s.attempt(batch, fresh, hadTurn)
+		hadTurn = outcome == attemptAwaitTurn || outcome == attemptReplan
 		switch outcome {
-		case stepDone:
-			s.l.gate.opened()
+		case attemptDone:
+			s.l.breaker.recordSuccess()
 			return
-		case stepPace:
-			s.gather()
+		case attemptAwaitTurn:
+			s.awaitWriteTurn()
 			continue
-		case stepReplan:
+		case attemptReplan:
 			continue
-		case stepAgain:
-			read = true
+		case attemptReloaded:
+			fresh = true
 			continue
-		case stepConflict:
-			read = true
-		case stepFailed, stepBroken:
+		case attemptConflict:
+			fresh = true
+		case attemptFailed, attemptBroken:
 			failures++
-			if failures < s.l.gate.tries(failedTries) {
+			if failures < s.l.breaker.attempts(maxAttempts) {
 				break
 			}
-			if outcome == stepFailed {
-				s.l.gate.failed()
+			if outcome == attemptFailed {
+				s.l.breaker.recordFailure()
 			}
-			if batch = refuse(batch); len(batch) == 0 {
+			if batch = refuseUndecided(batch); len(batch) == 0 {
 				return
 			}
 		}
 		time.Sleep(backoff/2 + s.l.jitter(backoff))
-		backoff = min(2*backoff, longestWait(outcome))
+		backoff = min(2*backoff, backoffLimit(outcome))
 	}
 }
 
-// longestWait bounds the wait after a step.
-func longestWait(outcome step) time.Duration {
-	if outcome == stepConflict {
-		return lastConflict
+// backoffLimit returns the maximum backoff after an outcome.
+func backoffLimit(outcome attemptResult) time.Duration {
+	if outcome == attemptConflict {
+		return maxConflictBackoff
 	}
-	return lastBackoff
+	return maxBackoff
 }
 
-// gather waits for the VM's share of the platform's writes; what arrives
-// meanwhile joins the batch. A quiet VM has its share at hand and waits for
-// nothing. Without it the writes grow with the requests, and the platform
-// refuses the fleet's calls, configuration and leases among them.
-func (s *shard) gather() {
+// awaitWriteTurn waits until the VM's part of the platform's write rate allows another write;
+// calls that arrive in the meantime join the batch. A VM with few writes does not wait. Without
+// this limit the number of writes would grow with the requests, and the platform would refuse
+// calls of the whole fleet, among them those for configuration and leases.
+func (s *shard) awaitWriteTurn() {
 	if s.l.settings.WritesPerSecond < 0 {
 		return
 	}
 	now := time.Now()
-	time.Sleep(s.l.pace.turn(now, s.l.active(now.Add(-activeFor))))
+	time.Sleep(s.l.pace.reserve(now, s.l.activeShards(now.Add(-activeWindow))))
 }
 
-// present drops the calls whose callers have left.
-func (s *shard) present(batch []*call) []*call {
+// dropAbandoned removes the calls whose callers have stopped waiting and replies to them with
+// an error.
+func (s *shard) dropAbandoned(batch []*call) []*call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*call
 	for _, c := range batch {
-		if c.ctx.Err() == nil && !c.gone {
+		if c.ctx.Err() == nil && !c.abandoned {
 			out = append(out, c)
 			continue
 		}
-		c.done <- reply{err: c.failure()}
+		c.done <- reply{err: c.failureError()}
 	}
 	return out
 }
 
-// refuse answers the calls that are sure to have had no effect; the others go on.
-func refuse(batch []*call) []*call {
+// refuseUndecided replies ErrUnavailable to the calls whose operations had no effect, and
+// returns the others, which are in doubt.
+func refuseUndecided(batch []*call) []*call {
 	var out []*call
 	for _, c := range batch {
-		if c.tainted {
+		if c.inDoubt {
 			out = append(out, c)
 			continue
 		}
@@ -130,20 +132,21 @@
 	return out
 }
 
-func (c *call) failure() error {
-	if c.tainted {
+func (c *call) failureError() error {
+	if c.inDoubt {
 		return ErrUnknown
 	}
 	return ErrUnavailable
 }
 
-// attempt makes one try at committing the batch.
-func (s *shard) attempt(batch []*call, read, paced bool) step {
+// attempt tries once to commit the batch. fresh means that the state was loaded after the last
+// call of the batch arrived; hadTurn means that a write has waited for its turn.
+func (s *shard) attempt(batch []*call, fresh, hadTurn bool) attemptResult {
 	if s.state == nil {
-		if err := s.load(); err != nil {
-			return failedStep(err)
+		if err := s.loadHead(); err != nil {
+			return classifyError(err)
 		}
-		read = true
+		fresh = true
 	}
 	var ops []op
 	for _, c := range batch {
@@ -153,60 +156,60 @@
 	p := s.state.plan(ops, hour)
 	writes := len(p.changes) > 0 || s.unsettled
 	switch {
-	case writes && !paced:
-		return stepPace
+	case writes && !hadTurn:
+		return attemptAwaitTurn
 	case writes:
 		return s.write(batch, p, hour)
-	case p.final || read:
-		answer(batch, p.results)
-		return stepDone
+	case p.final || fresh:
+		sendResults(batch, p.results)
+		return attemptDone
 	}
-	if err := s.load(); err != nil {
-		return failedStep(err)
+	if err := s.loadHead(); err != nil {
+		return classifyError(err)
 	}
-	return stepAgain
+	return attemptReloaded
 }
 
-func failedStep(err error) step {
+func classifyError(err error) attemptResult {
 	if errors.Is(err, durable.ErrOverRate) {
-		return stepThrottled
+		return attemptThrottled
 	}
 	if errors.Is(err, durable.ErrUnavailable) || errors.Is(err, durable.ErrUnknown) {
-		return stepFailed
+		return attemptFailed
 	}
-	return stepBroken
+	return attemptBroken
 }
 
-// answer gives each call its part of the results.
-func answer(batch []*call, results []result) {
+// sendResults sends each call its part of the results.
+func sendResults(batch []*call, results []result) {
 	for _, c := range batch {
 		c.done <- reply{results: results[:len(c.ops)]}
 		results = results[len(c.ops):]
 	}
 }
 
-// write commits a plan at the state's version.
-func (s *shard) write(batch []*call, p plan, hour uint32) step {
-	next := proposal{segments: s.state.segments, entries: s.state.with(p.changes)}
-	if s.state.size > s.l.sealAt {
+// write commits a plan with a conditional write of the head at the state's version.
+func (s *shard) write(batch []*call, p plan, hour uint32) attemptResult {
+	next := proposal{segments: s.state.segments, entries: s.state.headWith(p.changes)}
+	if s.state.headSize > s.l.sealAt {
 		var err error
 		if next, err = s.seal(p, hour); err != nil {
-			return failedStep(err)
+			return classifyError(err)
 		}
 	}
 	value, err := next.encode()
 	if err != nil {
-		return stepBroken
+		return attemptBroken
 	}
-	if !s.carry(batch) {
-		return stepReplan
+	if !s.markInWrite(batch) {
+		return attemptReplan
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), durable.CallTimeout)
 	defer cancel()
 	o, err := s.l.store.Put(ctx, s.key, value, s.state.version)
-	s.l.metrics.wrote(err)
+	s.l.metrics.countWrite(err)
 	if errors.Is(err, durable.ErrConflict) || errors.Is(err, durable.ErrUnavailable) {
-		s.release(batch)
+		s.unmarkInWrite(batch)
 	}
 	var conflict *durable.ConflictError
 	switch {
@@ -214,27 +217,27 @@
 		s.writes++
 		s.l.metrics.batch.Observe(float64(len(p.results)))
 		s.adopt(o.Version, next, len(value))
-		answer(batch, p.results)
-		return stepDone
+		sendResults(batch, p.results)
+		return attemptDone
 	case errors.As(err, &conflict):
-		return s.lost(conflict.Current)
+		return s.adoptWinner(conflict.Current)
 	case errors.Is(err, durable.ErrUnavailable):
-		return failedStep(err)
+		return classifyError(err)
 	case errors.Is(err, durable.ErrTooLarge):
-		return stepBroken
+		return attemptBroken
 	}
 	s.unsettled = true
 	for _, c := range batch {
-		c.tainted = true
+		c.inDoubt = true
 	}
-	return stepUnknown
+	return attemptUnknown
 }
 
-// lost takes the head that won; operations of ours that are in it after all
-// (an earlier write whose reply was lost) are found by their nonces.
-func (s *shard) lost(current durable.Object) step {
-	if err := s.follow(current); err != nil {
-		return failedStep(err)
+// adoptWinner advances the state to the head that won a conflict. If it contains operations of
+// this VM, from an earlier write without a reply, the next attempt finds them by their nonces.
+func (s *shard) adoptWinner(current durable.Object) attemptResult {
+	if err := s.advanceTo(current); err != nil {
+		return classifyError(err)
 	}
-	return stepConflict
+	return attemptConflict
 }
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ShardInfo is a shard in a state dump.
+// ShardInfo describes a shard in a state dump.
 type ShardInfo struct {
 	Shard    int   `json:"shard"`
 	Version  int64 `json:"version"`
 	Entries  int   `json:"head_entries"`
 	HeadSize int   `json:"head_bytes"`
 	Segments int   `json:"segments"`
-	// Sealed is the number of keys known from segments.
+	// Sealed is the number of keys in the loaded segments.
 	Sealed int `json:"sealed_entries"`
 	Queued int `json:"queued"`
 	// Writes is the number of heads that this VM has written.
 	Writes int `json:"writes"`
-	// Unsettled: a write had no reply and its effect is not known yet.
+	// Unsettled is set if a write had no reply and its effect is not known yet.
 	Unsettled bool `json:"unsettled"`
 }
 
@@ -25,13 +25,14 @@
 type Dump struct {
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
-	// RefusingFor is how long callers are refused since the store is down.
+	// RefusingFor is for how long callers are still refused because the store is down, in
+	// nanoseconds.
 	RefusingFor time.Duration `json:"refusing_for_ns"`
 	Remembered  int           `json:"remembered_decisions"`
 	Shards      []ShardInfo   `json:"shards"`
 }
 
-// Dump gives the state of the shards that this VM has used.
+// Dump returns the state of the shards that this VM has used, sorted by number.
 func (l *Ledger) Dump() Dump {
 	l.mu.Lock()
 	shards := make([]*shard, 0, len(l.shards))
@@ -42,8 +43,8 @@
 	d := Dump{
 		VM:          l.settings.VM,
 		Incarnation: l.settings.Incarnation,
-		RefusingFor: l.gate.wait(),
-		Remembered:  l.finals.Len(),
+		RefusingFor: l.breaker.wait(),
+		Remembered:  l.finalEntries.Len(),
 	}
 	for _, s := range shards {
 		s.mu.Lock()
@@ -56,14 +57,14 @@
 	return d
 }
 
-// describe brings the dump's copy up to date; the worker calls it.
-func (s *shard) describe() {
+// updateInfo updates the copy of the shard's state for Dump; the worker calls it.
+func (s *shard) updateInfo() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.info = ShardInfo{
 		Version:   s.state.version,
 		Entries:   len(s.state.head),
-		HeadSize:  s.state.size,
+		HeadSize:  s.state.headSize,
 		Segments:  len(s.state.segments),
 		Sealed:    len(s.state.index),
 		Writes:    s.writes,
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -8,7 +8,7 @@
 	"goldcrestfork/standin/store"
 )
 
-// A refund is claimed before it is sent. The second VM that is asked for it gets the
+// A refund is claimed before it is sent. The second VM that gets the same request returns the
 // recorded answer and sends nothing.
 func ExampleClaims() {
 	ctx := context.Background()
@@ -25,7 +25,7 @@
 		fmt.Println("not run:", err)
 		return
 	}
-	// Here the refund is sent, once.
+	// The refund is sent at this point, exactly once.
 	if err := first.Finish(ctx, start.Ticket, ledger.Outcome{Known: true, Status: 200, Answer: []byte("booked")}); err != nil {
 		fmt.Println("recorded later:", err)
 	}
--- a/ledger/fakes_test.go
+++ b/ledger/fakes_test.go
@@ -9,43 +9,43 @@
 	"goldcrestfork/durable"
 )
 
-// vmStore is the store as one VM reaches it: the VM may be frozen between any
-// two steps, and may die just before or just after any of its calls' effects.
+// vmStore is one VM's connection to the store. The VM can be frozen between any two steps, and
+// can crash just before or just after the effect of any of its calls.
 type vmStore struct {
 	durable.Store
 
-	mu     sync.Mutex
-	thaw   chan struct{} // non-nil while frozen; closed at the thaw
-	dead   bool
-	dieIn  int // calls until death; 0: lives on
-	effect bool
+	mu                  sync.Mutex
+	resumed             chan struct{} // non-nil while frozen; closed by resume
+	dead                bool
+	callsUntilDeath     int // 0: the VM doesn't crash
+	lastCallTakesEffect bool
 }
 
-var errDead = errors.New("this VM is dead")
+var errDead = errors.New("this VM has crashed")
 
-// step blocks while the VM is frozen; it tells whether the call is made and
-// whether the VM lives to see its reply.
-func (v *vmStore) step() (call, reply bool) {
-	v.waitThaw()
+// nextCall blocks while the VM is frozen. It reports whether the call is made and whether the
+// VM gets its reply.
+func (v *vmStore) nextCall() (call, reply bool) {
+	v.waitUntilResumed()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.dead {
 		return false, false
 	}
-	if v.dieIn == 0 {
+	if v.callsUntilDeath == 0 {
 		return true, true
 	}
-	v.dieIn--
-	if v.dieIn > 0 {
+	v.callsUntilDeath--
+	if v.callsUntilDeath > 0 {
 		return true, true
 	}
 	v.dead = true
-	return v.effect, false
+	return v.lastCallTakesEffect, false
 }
 
-func (v *vmStore) waitThaw() {
+func (v *vmStore) waitUntilResumed() {
 	v.mu.Lock()
-	thaw := v.thaw
+	thaw := v.resumed
 	v.mu.Unlock()
 	if thaw != nil {
 		<-thaw
@@ -55,24 +55,24 @@
 func (v *vmStore) freeze() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.thaw == nil {
-		v.thaw = make(chan struct{})
+	if v.resumed == nil {
+		v.resumed = make(chan struct{})
 	}
 }
 
 func (v *vmStore) resume() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.thaw != nil {
-		close(v.thaw)
-		v.thaw = nil
+	if v.resumed != nil {
+		close(v.resumed)
+		v.resumed = nil
 	}
 }
 
 func (v *vmStore) dieAfter(calls int, effect bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.dieIn, v.effect = calls, effect
+	v.callsUntilDeath, v.lastCallTakesEffect = calls, effect
 }
 
 func (v *vmStore) alive() bool {
@@ -82,33 +82,33 @@
 }
 
 func (v *vmStore) Get(ctx context.Context, k durable.Key) (durable.Object, error) {
-	if call, reply := v.step(); !call || !reply {
+	if call, reply := v.nextCall(); !call || !reply {
 		return durable.Object{}, durable.ErrUnavailable
 	}
 	o, err := v.Store.Get(ctx, k)
-	v.waitThaw()
+	v.waitUntilResumed()
 	return o, err
 }
 
 func (v *vmStore) Put(ctx context.Context, k durable.Key, value []byte, at int64) (durable.Object, error) {
-	call, reply := v.step()
+	call, reply := v.nextCall()
 	if !call {
 		return durable.Object{}, durable.ErrUnavailable
 	}
 	o, err := v.Store.Put(ctx, k, value, at)
-	v.waitThaw()
+	v.waitUntilResumed()
 	if !reply {
 		return durable.Object{}, durable.ErrUnknown
 	}
 	return o, err
 }
 
-// network carries peer calls between the VMs of a test; each call meets the
-// next fault drawn for it.
+// network carries peer calls between the VMs of a test. Each call gets the next fault in
+// faults.
 type network struct {
 	mu     sync.Mutex
 	peers  map[string]*Ledger
-	owners []string // hint by shard; VMs need not agree with it
+	owners []string // owner by shard; VMs need not agree with it
 	faults []netFault
 }
 
@@ -122,7 +122,7 @@
 	netFaults
 )
 
-func (n *network) next() netFault {
+func (n *network) nextFault() netFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.faults) == 0 {
@@ -141,13 +141,13 @@
 
 // link is the network as one VM sees it.
 type link struct {
-	net  *network
-	self string
-	view int // VMs with different views disagree on every owner
+	net         *network
+	self        string
+	ownerOffset int // VMs with different offsets disagree on every owner
 }
 
 func (l link) Owner(shard int) (string, bool) {
-	vm := l.net.owners[(shard+l.view)%len(l.net.owners)]
+	vm := l.net.owners[(shard+l.ownerOffset)%len(l.net.owners)]
 	return vm, vm == l.self
 }
 
@@ -156,7 +156,7 @@
 	if peer == nil {
 		return nil, errDead
 	}
-	switch l.net.next() {
+	switch l.net.nextFault() {
 	case netLostRequest:
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/ledger/forward.go
+++ b/ledger/forward.go
@@ -9,43 +9,44 @@
 	"github.com/gravitational/trace"
 )
 
-// Waits for a shard's owner. Grounds: the owner gathers for up to 430 ms and
-// writes in milliseconds; it must say "busy" before its origin stops waiting,
-// and what is left of the operation's time must suffice to commit here.
+// Timeouts of calls to a shard's owner. The owner collects operations for up to 430 ms and
+// writes in milliseconds. It must answer "busy" before the origin stops waiting, and the rest
+// of the operation's time must suffice to commit on the origin.
 const (
 	forwardTimeout = time.Second
 	forwardBudget  = 800 * time.Millisecond
 )
 
-// peerRequest is the body of a call to a shard's owner.
+// peerRequest is the body of a call from an operation's origin to the shard's owner.
 type peerRequest struct {
 	Op op `cbor:"1,keyasint"`
-	// Budget is how long the origin waits, in milliseconds, on the owner's own
-	// clock: an owner that was frozen drops the operation instead of carrying it
-	// out long after its origin has gone another way.
+	// Budget is how long the origin waits, in milliseconds, measured by the owner's own clock.
+	// An owner that was frozen then drops the operation; without the budget it would commit it
+	// long after the origin went on by itself.
 	Budget int64 `cbor:"2,keyasint"`
 }
 
-// peerReply is its answer; without OK the origin goes on by itself.
+// peerReply is the owner's answer. Unless OK is set, the origin commits by itself or refuses
+// the operation.
 type peerReply struct {
 	OK     bool   `cbor:"1,keyasint"`
 	Result result `cbor:"2,keyasint"`
-	// NoEffect: the operation was refused and will not be carried out.
+	// NoEffect is set if the operation was refused and will not be carried out.
 	NoEffect bool `cbor:"3,keyasint"`
-	// Busy: the operation's time ran out in the owner's queue.
+	// Busy is set if the operation's time ended in the owner's queue.
 	Busy bool `cbor:"4,keyasint"`
 }
 
-// Answers of an owner that did not commit.
+// Errors for answers of an owner that did not commit.
 var (
 	errOwnerFailed = errors.New("the shard's owner can't reach the store")
 	errOwnerBusy   = errors.New("the shard's owner is busy")
 )
 
-// atOwner lets the shard's owner carry out o. tried says that the owner may do
-// so, now or later, whatever the error: then the same operation, by its nonce,
-// is carried out here, and whichever comes second changes nothing.
-func (l *Ledger) atOwner(ctx context.Context, number int, o op) (r result, tried bool, err error) {
+// forwardToOwner lets the shard's owner carry out o. tried reports that the owner may do so,
+// now or later, whatever the error. The same operation, with the same nonce, may then be
+// carried out on this VM; the later one of the two changes nothing.
+func (l *Ledger) forwardToOwner(ctx context.Context, number int, o op) (r result, tried bool, err error) {
 	if l.forward == nil {
 		return result{}, false, nil
 	}
@@ -80,8 +81,9 @@
 	return p.Result, true, nil
 }
 
-// HandlePeer serves a call that another VM's Forwarder made. It commits here
-// even if this VM does not think itself the owner: passing it on could go round.
+// HandlePeer serves a call from another VM's Forwarder and returns the encoded answer. It
+// commits on this VM even if this VM is not the owner in its own view, because forwarding again
+// could lead to a loop.
 func (l *Ledger) HandlePeer(ctx context.Context, body []byte) ([]byte, error) {
 	var q peerRequest
 	if err := cbor.Unmarshal(body, &q); err != nil {
@@ -93,7 +95,7 @@
 	budget := min(time.Duration(q.Budget)*time.Millisecond, l.settings.Timeout)
 	ctx, cancel := context.WithTimeout(ctx, budget)
 	defer cancel()
-	if l.gate.wait() > 0 {
+	if l.breaker.wait() > 0 {
 		return cbor.Marshal(peerReply{NoEffect: true})
 	}
 	results, err := l.shard(q.Op.Key.Shard()).submit(ctx, []op{q.Op})
--- a/ledger/gate.go
+++ b/ledger/gate.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// Waits after the platform refused a batch. Grounds: 400 VMs that probe every
-// two seconds cost a platform that comes back 200 calls a second, a tenth of its reads.
+// Limits of the wait after a batch that the platform did not take. 400 VMs that probe every two
+// seconds cost a platform that comes back 200 calls a second, a tenth of its reads.
 const (
-	firstPause = 250 * time.Millisecond
-	lastPause  = 2 * time.Second
+	minPause = 250 * time.Millisecond
+	maxPause = 2 * time.Second
 )
 
-// gate refuses callers at once while the platform is known to be down. Without
-// it each request of an outage waits for its own tries, and all of them
-// together meet the platform when it returns.
-type gate struct {
-	mu    sync.Mutex
-	until time.Time // monotonic
-	pause time.Duration
+// breaker is a circuit breaker: it refuses callers at once while the platform is known to be
+// down. Without it, each request of an outage would wait for its own attempts, and all of them
+// together would load the platform when it returns.
+type breaker struct {
+	mu      sync.Mutex
+	retryAt time.Time // end of the refusal, on the monotonic clock
+	pause   time.Duration
 }
 
-// wait gives how long callers are refused from now; zero lets them pass.
-func (g *gate) wait() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.pause == 0 {
+// wait returns for how long callers are refused from now on; zero lets them pass.
+func (b *breaker) wait() time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.pause == 0 {
 		return 0
 	}
-	return max(0, time.Until(g.until))
+	return max(0, time.Until(b.retryAt))
 }
 
-// tries gives how often a batch is tried: once while the platform is suspect.
-func (g *gate) tries(usual int) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.pause > 0 {
+// attempts returns the number of attempts for a batch: one after a failure, else usual.
+func (b *breaker) attempts(usual int) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.pause > 0 {
 		return 1
 	}
 	return usual
 }
 
-// failed closes the gate, for longer each time.
-func (g *gate) failed() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.pause = min(max(2*g.pause, firstPause), lastPause)
-	g.until = time.Now().Add(g.pause)
+// recordFailure starts the next refusal; each is twice as long as the last, up to maxPause.
+func (b *breaker) recordFailure() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.pause = min(max(2*b.pause, minPause), maxPause)
+	b.retryAt = time.Now().Add(b.pause)
 }
 
-// opened ends the outage.
-func (g *gate) opened() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.pause = 0
+// recordSuccess ends the outage.
+func (b *breaker) recordSuccess() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.pause = 0
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -35,9 +35,9 @@
 	})
 }
 
-// A write loses its reply. The writer must learn whether it was its own, in
-// each order of events: the write took effect, never does, or does so only
-// after the writer has written again.
+// Guards against a writer that misjudges whether the winning value is its own. The reply to its
+// write is lost, and the write took effect, never does, or does so only after the writer has
+// written again.
 func TestLostReplies(t *testing.T) {
 	for name, fault := range map[string]store.Faults{
 		"after the effect":            {LoseReplies: 1},
@@ -67,7 +67,7 @@
 	}
 }
 
-// An outage refuses at once, without effect, and ends when the store returns.
+// In an outage operations are refused at once and without effect, until the store returns.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -79,10 +79,10 @@
 		before := s.Counts()
 		_, _, err = a.Decide(t.Context(), key, []byte("v1"), pinHours)
 		require.ErrorIs(t, err, ErrUnavailable)
-		require.Equal(t, before, s.Counts(), "the gate spares the platform")
+		require.Equal(t, before, s.Counts(), "the breaker let calls through")
 		require.Positive(t, a.RetryAfter())
 		s.SetFaults(store.Faults{})
-		time.Sleep(lastPause)
+		time.Sleep(maxPause)
 		_, mine, err := a.Decide(t.Context(), key, []byte("v2"), pinHours)
 		require.NoError(t, err)
 		require.True(t, mine)
@@ -90,7 +90,8 @@
 	})
 }
 
-// Many callers of one shard share writes; a shard's writes stay within its share.
+// Many callers of one shard share writes, and the shard's number of writes stays within its
+// limit.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -115,7 +116,7 @@
 	})
 }
 
-// keysOfShard makes keys that live in one shard.
+// keysOfShard returns n keys of one shard.
 func keysOfShard(shard, n int) []Key {
 	var out []Key
 	for i := uint64(0); len(out) < n; i++ {
@@ -127,16 +128,16 @@
 	return out
 }
 
-// readBack looks a key up as a VM does that has just started.
+// readBack returns a key's live entry as a newly started VM reads it.
 func readBack(t require.TestingT, s *store.Store, k Key) *Entry {
 	l := testLedger(s, "reader")
 	sh := l.shard(k.Shard())
-	require.NoError(t, sh.load())
+	require.NoError(t, sh.loadHead())
 	return sh.state.lookup(k, hourOf(time.Now()))
 }
 
-// A shard under steady load keeps to its share of the platform's writes, and
-// each caller still gets its decision within the time that the share gives.
+// A shard under steady load stays within its part of the write rate, and each caller gets its
+// decision within the time that this rate allows.
 func TestPace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -159,8 +160,8 @@
 	})
 }
 
-// BenchmarkDecide is one decision of a new key, with its head's write into the
-// in-memory stand-in: an upper bound of the processor time, since nothing shares a write.
+// BenchmarkDecide measures one decision of a new key, with its head's write into the in-memory
+// stand-in. It is an upper bound of the processor time, because no operations share a write.
 func BenchmarkDecide(b *testing.B) {
 	l := New(store.New(), nil, nil, Settings{VM: "a", WritesPerSecond: -1})
 	n := 0
@@ -172,7 +173,7 @@
 	}
 }
 
-// BenchmarkRepeat is a decision that this VM remembers.
+// BenchmarkRepeat measures a decision that is in this VM's cache.
 func BenchmarkRepeat(b *testing.B) {
 	l := New(store.New(), nil, nil, Settings{VM: "a", WritesPerSecond: -1})
 	key := MakeKey(SpacePin, "session")
--- a/ledger/metrics.go
+++ b/ledger/metrics.go
@@ -8,54 +8,55 @@
 	"goldcrestfork/durable"
 )
 
-// batchBuckets covers a batch of one up to the largest that fits maxBatch.
+// batchBuckets are the histogram's buckets for batch sizes, from one operation to the largest
+// batch that fits into maxBatch.
 var batchBuckets = []float64{1, 2, 4, 8, 16, 32, 64, 128, 512, 2048}
 
 type metrics struct {
-	decides   *prometheus.CounterVec // goldcrest_ledger_decides_total{outcome}: operations by how they ended
-	writes    *prometheus.CounterVec // goldcrest_ledger_writes_total{result}: writes of heads
-	conflicts prometheus.Counter     // goldcrest_ledger_conflicts_total: head writes that another VM overtook
-	reads     prometheus.Counter     // goldcrest_ledger_reads_total: reads of heads and segments
-	batch     prometheus.Histogram   // goldcrest_ledger_batch_entries: operations in one committed write
-	segments  *prometheus.CounterVec // goldcrest_ledger_segments_total{event}: sealed, seal_failed, deleted
-	forwards  *prometheus.CounterVec // goldcrest_ledger_forwards_total{result}: operations sent to a shard's owner
-	pending   prometheus.Gauge       // goldcrest_ledger_settle_pending: outcomes not yet recorded
-	lost      prometheus.Counter     // goldcrest_ledger_settle_lost_total: outcomes given up; their claims stay unknown
+	decides       *prometheus.CounterVec // goldcrest_ledger_decides_total{outcome}: operations by outcome
+	writes        *prometheus.CounterVec // goldcrest_ledger_writes_total{result}: writes of heads
+	conflicts     prometheus.Counter     // goldcrest_ledger_conflicts_total: head writes that lost to another VM's
+	reads         prometheus.Counter     // goldcrest_ledger_reads_total: reads of heads and segments
+	batch         prometheus.Histogram   // goldcrest_ledger_batch_entries: operations in one committed write
+	segments      *prometheus.CounterVec // goldcrest_ledger_segments_total{event}: sealed, seal_failed, deleted
+	forwards      *prometheus.CounterVec // goldcrest_ledger_forwards_total{result}: operations sent to a shard's owner
+	settlePending prometheus.Gauge       // goldcrest_ledger_settle_pending: outcomes not yet recorded
+	settleLost    prometheus.Counter     // goldcrest_ledger_settle_lost_total: outcomes that were dropped; their claims stay unknown
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
 	m := &metrics{
-		decides:   vec("goldcrest_ledger_decides_total", "Operations by outcome.", "outcome"),
-		writes:    vec("goldcrest_ledger_writes_total", "Writes of shard heads by result.", "result"),
-		conflicts: counter("goldcrest_ledger_conflicts_total", "Head writes that another VM overtook."),
-		reads:     counter("goldcrest_ledger_reads_total", "Reads of heads and segments."),
+		decides:   newCounterVec("goldcrest_ledger_decides_total", "Operations by outcome.", "outcome"),
+		writes:    newCounterVec("goldcrest_ledger_writes_total", "Writes of shard heads by result.", "result"),
+		conflicts: newCounter("goldcrest_ledger_conflicts_total", "Head writes that lost to another VM's write."),
+		reads:     newCounter("goldcrest_ledger_reads_total", "Reads of heads and segments."),
 		batch: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "goldcrest_ledger_batch_entries", Help: "Operations in one committed write.", Buckets: batchBuckets,
 		}),
-		segments: vec("goldcrest_ledger_segments_total", "Segments by event.", "event"),
-		forwards: vec("goldcrest_ledger_forwards_total", "Operations sent to a shard's owner.", "result"),
-		pending: prometheus.NewGauge(prometheus.GaugeOpts{
+		segments: newCounterVec("goldcrest_ledger_segments_total", "Segments by event.", "event"),
+		forwards: newCounterVec("goldcrest_ledger_forwards_total", "Operations sent to a shard's owner.", "result"),
+		settlePending: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "goldcrest_ledger_settle_pending", Help: "Outcomes not yet recorded.",
 		}),
-		lost: counter("goldcrest_ledger_settle_lost_total", "Outcomes given up; their claims stay unknown."),
+		settleLost: newCounter("goldcrest_ledger_settle_lost_total", "Outcomes that were dropped; their claims stay unknown."),
 	}
 	if r != nil {
 		r.MustRegister(m.decides, m.writes, m.conflicts, m.reads, m.batch,
-			m.segments, m.forwards, m.pending, m.lost)
+			m.segments, m.forwards, m.settlePending, m.settleLost)
 	}
 	return m
 }
 
-func vec(name, help, label string) *prometheus.CounterVec {
+func newCounterVec(name, help, label string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{label})
 }
 
-func counter(name, help string) prometheus.Counter {
+func newCounter(name, help string) prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 }
 
-// wrote counts one write of a head.
-func (m *metrics) wrote(err error) {
+// countWrite counts one write of a head.
+func (m *metrics) countWrite(err error) {
 	m.writes.WithLabelValues(writeResult(err)).Inc()
 	if errors.Is(err, durable.ErrConflict) {
 		m.conflicts.Inc()
@@ -74,7 +75,7 @@
 	return "unknown"
 }
 
-func (m *metrics) sealed(err error) {
+func (m *metrics) countSeal(err error) {
 	event := "sealed"
 	if err != nil && !errors.Is(err, durable.ErrConflict) {
 		event = "seal_failed"
@@ -90,8 +91,8 @@
 	verdictMissing:   "missing",
 }
 
-// decided counts one operation.
-func (m *metrics) decided(r result, err error) {
+// countDecide counts one operation.
+func (m *metrics) countDecide(r result, err error) {
 	outcome := verdictNames[r.Verdict]
 	switch {
 	case errors.Is(err, ErrUnavailable):
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -16,17 +16,17 @@
 	"goldcrestfork/standin/store"
 )
 
-// Several VMs decide and claim a few keys under random schedules of outages,
-// lost replies, late writes, freezes, deaths at any call and peer calls that
-// are lost or late. What callers see must stay true: one value a key, at most
-// one run a key, nothing acknowledged is lost, nothing refused takes effect.
+// Guards the ledger's guarantees: each key has one value, a request runs at most once, nothing
+// acknowledged is lost, and nothing refused takes effect. Several VMs decide and claim a few
+// keys under random schedules of outages, lost replies, late writes, freezes, crashes at any
+// call, and peer calls that are lost or late.
 
 const (
-	modelVMs   = 3
-	modelKeys  = 6
-	modelSeal  = 150 // seal and merge every few entries
-	modelSteps = 40
-	modelShard = 11
+	modelVMs      = 3
+	modelKeys     = 6
+	modelSealSize = 150 // a low threshold: seals and merges every few entries
+	modelSteps    = 40
+	modelShard    = 11
 )
 
 // All keys live in one shard, so that its head is sealed again and again.
@@ -83,7 +83,7 @@
 		actions := rapid.SliceOfN(rapid.Custom(drawAction), 5, modelSteps).Draw(rt, "actions")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var broken []string
-		synctest.Test(t, func(*testing.T) { broken = newModel(seed).run(actions) })
+		synctest.Test(t, func(*testing.T) { broken = newModel(seed).runActions(actions) })
 		if len(broken) > 0 {
 			rt.Fatalf("%v", broken)
 		}
@@ -97,33 +97,33 @@
 	claims *Claims
 }
 
-// model is the VMs and what their callers have seen.
+// model holds the VMs and the results that their callers got.
 type model struct {
-	store *store.Store
-	net   *network
-	vms   []*modelVM
-	calls sync.WaitGroup
-	rand  *rand.Rand // the schedule's own
-	every []*modelVM // all that were ever started
+	store   *store.Store
+	net     *network
+	vms     []*modelVM
+	calls   sync.WaitGroup
+	rand    *rand.Rand // random source of the schedule
+	started []*modelVM // all VMs that were started
 
-	mu       sync.Mutex
-	values   int
-	decided  map[Key]string   // acknowledged value
-	refused  map[Key][]string // values whose decision was refused
-	runs     map[Key]int      // requests that left their VM
-	finished map[Key]string   // acknowledged answer
-	broken   []string         // what should not have happened
+	mu              sync.Mutex
+	valueCount      int
+	decidedValues   map[Key]string   // acknowledged value
+	refusedValues   map[Key][]string // values whose decision was refused
+	runs            map[Key]int      // dispatched requests
+	recordedAnswers map[Key]string   // acknowledged answer
+	violations      []string         // violated guarantees
 }
 
 func newModel(seed uint64) *model {
 	m := &model{
-		store:    store.New(),
-		net:      &network{peers: map[string]*Ledger{}},
-		rand:     rand.New(rand.NewPCG(seed, 1)),
-		decided:  map[Key]string{},
-		refused:  map[Key][]string{},
-		runs:     map[Key]int{},
-		finished: map[Key]string{},
+		store:           store.New(),
+		net:             &network{peers: map[string]*Ledger{}},
+		rand:            rand.New(rand.NewPCG(seed, 1)),
+		decidedValues:   map[Key]string{},
+		refusedValues:   map[Key][]string{},
+		runs:            map[Key]int{},
+		recordedAnswers: map[Key]string{},
 	}
 	for i := range modelVMs {
 		m.net.owners = append(m.net.owners, fmt.Sprintf("vm%d", i))
@@ -133,33 +133,33 @@
 	return m
 }
 
-// start replaces a VM by a new one in the same place.
+// start starts a VM, in place of the earlier one with this index.
 func (m *model) start(i int) {
 	vm := &modelVM{name: fmt.Sprintf("vm%d", i), store: &vmStore{Store: m.store}}
-	s := Settings{VM: vm.name, Incarnation: uint64(len(m.every)), WritesPerSecond: -1}
+	s := Settings{VM: vm.name, Incarnation: uint64(len(m.started)), WritesPerSecond: -1}
 	vm.ledger = New(vm.store, link{m.net, vm.name, m.rand.IntN(modelVMs)}, nil, s)
-	vm.ledger.sealAt = modelSeal
+	vm.ledger.sealAt = modelSealSize
 	vm.ledger.jitter = func(d time.Duration) time.Duration { return d / 2 }
 	vm.claims = NewClaims(vm.ledger, nil)
 	m.net.mu.Lock()
 	m.net.peers[vm.name] = vm.ledger
 	m.net.mu.Unlock()
 	m.vms[i] = vm
-	m.every = append(m.every, vm)
+	m.started = append(m.started, vm)
 }
 
-func (m *model) run(actions []action) []string {
+func (m *model) runActions(actions []action) []string {
 	for _, a := range actions {
-		m.act(a)
+		m.perform(a)
 		time.Sleep(a.Wait / 10)
 	}
 	m.heal()
 	m.calls.Wait()
 	m.check()
-	return m.broken
+	return m.violations
 }
 
-func (m *model) act(a action) {
+func (m *model) perform(a action) {
 	vm := m.vms[a.VM]
 	switch a.Kind {
 	case actDecide:
@@ -193,51 +193,52 @@
 	}
 }
 
-// unique gives each call a value of its own.
-func (m *model) unique() string {
+// uniqueValue returns a value that no other call gets.
+func (m *model) uniqueValue() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.values++
-	return fmt.Sprintf("value-%08d", m.values)
+	m.valueCount++
+	return fmt.Sprintf("value-%08d", m.valueCount)
 }
 
-func (m *model) fail(format string, args ...any) {
-	m.broken = append(m.broken, fmt.Sprintf(format, args...))
+func (m *model) reportViolation(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
 func (m *model) decide(vm *modelVM, k Key, a action) {
-	value := m.unique()
+	value := m.uniqueValue()
 	ctx, cancel := context.Background(), func() {}
-	if a.Flag { // an impatient caller
+	if a.Flag { // a caller with a short timeout
 		ctx, cancel = context.WithTimeout(ctx, a.Wait/50+1)
 	}
 	defer cancel()
 	won, mine, err := vm.ledger.Decide(ctx, k, []byte(value), pinHours)
 	if !vm.store.alive() {
-		return // its caller saw a cut connection
+		return // the caller's connection broke
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case errors.Is(err, ErrUnavailable):
-		m.refused[k] = append(m.refused[k], value)
+		m.refusedValues[k] = append(m.refusedValues[k], value)
 	case err != nil:
-	case m.decided[k] != "" && m.decided[k] != string(won):
-		m.fail("key decided twice: %s and %s", m.decided[k], won)
+	case m.decidedValues[k] != "" && m.decidedValues[k] != string(won):
+		m.reportViolation("key decided twice: %s and %s", m.decidedValues[k], won)
 	case mine != (string(won) == value):
-		m.fail("mine is %v for %s, own value %s", mine, won, value)
+		m.reportViolation("mine is %v for %s, own value %s", mine, won, value)
 	default:
-		m.decided[k] = string(won)
+		m.decidedValues[k] = string(won)
 	}
 }
 
-// claim runs one caller's request: claimed, dispatched or not, and finished.
+// claim runs one caller's request: it claims the key, dispatches the request or not, and
+// finishes it.
 func (m *model) claim(vm *modelVM, k ClaimKey, a action) {
 	m.mu.Lock()
-	recorded := m.finished[k.digest()]
+	recorded := m.recordedAnswers[k.digest()]
 	m.mu.Unlock()
 	start, err := vm.claims.Begin(context.Background(), k, 1)
-	vm.store.waitThaw()
+	vm.store.waitUntilResumed()
 	if err != nil || !vm.store.alive() {
 		return
 	}
@@ -249,12 +250,12 @@
 		_ = vm.claims.CloseNotRun(context.Background(), start.Ticket)
 		return
 	}
-	answer := m.unique()
+	answer := m.uniqueValue()
 	m.mu.Lock()
 	m.runs[k.digest()]++
 	m.mu.Unlock()
 	time.Sleep(a.Wait)
-	vm.store.waitThaw()
+	vm.store.waitUntilResumed()
 	if !vm.store.alive() {
 		return
 	}
@@ -262,78 +263,78 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err == nil && a.Flag && vm.store.alive() {
-		m.finished[k.digest()] = answer
+		m.recordedAnswers[k.digest()] = answer
 	}
-	if errors.Is(err, ErrStale) {
-		m.fail("the claim of a dispatched request was closed otherwise")
+	if errors.Is(err, ErrClaimClosed) {
+		m.reportViolation("the claim of a dispatched request is closed with another outcome")
 	}
 }
 
-// repeat checks what a later caller was told; recorded is the answer that had
-// been acknowledged before it called.
+// repeat checks the result that a later caller got; recorded is the answer that had been
+// acknowledged before its call.
 func (m *model) repeat(k Key, c *Claim, recorded string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c.State == StateDone && m.runs[k] == 0 {
-		m.fail("a repeat was told done of a request that never ran")
+		m.reportViolation("a repeat got the state done for a request that never ran")
 	}
 	if recorded != "" && string(c.Answer) != recorded {
-		m.fail("a repeat got state %v answer %q after %q was recorded", c.State, c.Answer, recorded)
+		m.reportViolation("a repeat got state %v answer %q after %q was recorded", c.State, c.Answer, recorded)
 	}
 }
 
-// heal ends all faults and gives VMs time to settle.
+// heal ends all faults and waits until the VMs have settled.
 func (m *model) heal() {
 	m.store.SetFaults(store.Faults{})
-	for _, vm := range m.every {
+	for _, vm := range m.started {
 		vm.store.resume()
 	}
 	time.Sleep(time.Minute)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	for _, vm := range m.every {
+	for _, vm := range m.started {
 		left := vm.claims.Close(ctx)
 		vm.ledger.Wait()
 		if left > 0 && vm.store.alive() {
-			m.fail("a living VM could not settle %d outcomes", left)
+			m.reportViolation("a living VM could not settle %d outcomes", left)
 		}
 	}
 	m.store.Release()
 	time.Sleep(time.Minute)
 }
 
-// check reads the store as a VM does that has just started.
+// check compares the store, as a newly started VM reads it, with what callers saw.
 func (m *model) check() {
 	for i := range modelKeys {
 		k := modelPins[i]
-		e := m.read(k)
-		if want := m.decided[k]; want != "" && (e == nil || string(e.Value) != want) {
-			m.fail("acknowledged value %s is lost: %v", want, e)
+		e := m.readEntry(k)
+		if want := m.decidedValues[k]; want != "" && (e == nil || string(e.Value) != want) {
+			m.reportViolation("acknowledged value %s is lost: %v", want, e)
 		}
-		for _, v := range m.refused[k] {
+		for _, v := range m.refusedValues[k] {
 			if e != nil && string(e.Value) == v {
-				m.fail("refused value %s took effect", v)
+				m.reportViolation("refused value %s took effect", v)
 			}
 		}
 		k = modelClaims[i].digest()
-		e = m.read(k)
+		e = m.readEntry(k)
 		if m.runs[k] > 1 {
-			m.fail("a request ran %d times", m.runs[k])
+			m.reportViolation("a request ran %d times", m.runs[k])
 		}
-		if want := m.finished[k]; want != "" && (e == nil || string(e.Value) != want) {
-			m.fail("recorded answer %s is lost: %v", want, e)
+		if want := m.recordedAnswers[k]; want != "" && (e == nil || string(e.Value) != want) {
+			m.reportViolation("recorded answer %s is lost: %v", want, e)
 		}
 		if e != nil && e.State == StateNotRun && m.runs[k] > 0 {
-			m.fail("a request that ran is recorded as not run")
+			m.reportViolation("a request that ran is recorded as not run")
 		}
 	}
 }
 
-func (m *model) read(k Key) *Entry {
+func (m *model) readEntry(k Key) *Entry {
 	l := New(m.store, nil, nil, Settings{VM: "reader"})
 	sh := l.shard(k.Shard())
-	if err := sh.load(); err != nil && !errors.Is(err, durable.ErrNotFound) {
-		m.fail("can't read back: %v", err)
+	if err := sh.loadHead(); err != nil && !errors.Is(err, durable.ErrNotFound) {
+		m.reportViolation("can't read back: %v", err)
 		return nil
 	}
 	return sh.state.lookup(k, hourOf(time.Now()))
--- a/ledger/objects.go
+++ b/ledger/objects.go
@@ -11,29 +11,30 @@
 	"goldcrestfork/durable"
 )
 
-// kind is where heads and segments live; the shard count is part of a key's place.
-var kind = fmt.Sprintf("ledger-%d", ShardCount)
+// objectKind is the platform's kind of heads and segments. It contains the shard count, which
+// determines the shard of a key.
+var objectKind = fmt.Sprintf("ledger-%d", ShardCount)
 
-// errHeadLost: a head that existed is gone. Heads are never deleted, so the
-// platform has lost data; what it held can't be known, and the shard refuses.
+// errHeadLost reports that a head that existed is missing. Heads are never deleted, so the
+// platform has lost data. The lost entries can't be known, and the shard refuses operations.
 var errHeadLost = errors.New("ledger: the head of a shard is gone")
 
-// proposal is a head to be written.
+// proposal is a head to be written, or one that was read.
 type proposal struct {
 	segments []segmentRef
 	entries  map[Key]Entry
-	// added are the entries of segments that the state does not have yet.
+	// added holds the entries of segments that the state does not contain yet, by name.
 	added map[string][]Entry
-	// drop are the segments that nobody needs once the head is written.
-	drop []string
+	// obsolete names the segments that are not needed once the head is written.
+	obsolete []string
 }
 
 func (p proposal) encode() ([]byte, error) {
-	return cbor.Marshal(head{Newest: newest(p.segments), Entries: sorted(p.entries)})
+	return cbor.Marshal(head{Newest: newestName(p.segments), Entries: sortedByKey(p.entries)})
 }
 
-// load reads the head and the segments that are not at hand.
-func (s *shard) load() error {
+// loadHead reads the head and the segments that are not loaded yet, and updates the state.
+func (s *shard) loadHead() error {
 	ctx, cancel := context.WithTimeout(context.Background(), durable.CallTimeout)
 	defer cancel()
 	s.l.metrics.reads.Inc()
@@ -44,11 +45,11 @@
 	if err != nil {
 		return err
 	}
-	return s.follow(o)
+	return s.advanceTo(o)
 }
 
-// follow moves the state to a head that was read.
-func (s *shard) follow(o durable.Object) error {
+// advanceTo updates the state to a head that was read.
+func (s *shard) advanceTo(o durable.Object) error {
 	if s.state == nil && o.Version == 0 {
 		s.state = newState()
 		return nil
@@ -68,7 +69,7 @@
 		next.entries[e.Key] = e
 	}
 	var err error
-	if next.segments, next.added, err = s.fetch(h.Newest); err != nil {
+	if next.segments, next.added, err = s.loadSegments(h.Newest); err != nil {
 		return err
 	}
 	if s.state == nil {
@@ -78,17 +79,17 @@
 	return nil
 }
 
-// fetch gives the list of segments that the newest one holds, and reads those
-// that are not at hand. One that is gone was merged or has expired since the
-// head was read; the error makes the worker read again.
-func (s *shard) fetch(last string) ([]segmentRef, map[string][]Entry, error) {
+// loadSegments returns the list of segments that ends with last, and reads those that are not
+// loaded yet. A segment that is missing was merged or has expired since the head was read; the
+// error makes the worker read the head again.
+func (s *shard) loadSegments(last string) ([]segmentRef, map[string][]Entry, error) {
 	if last == "" {
 		return nil, nil, nil
 	}
-	if s.state != nil && newest(s.state.segments) == last {
+	if s.state != nil && newestName(s.state.segments) == last {
 		return s.state.segments, nil, nil
 	}
-	x, size, err := s.read(last)
+	x, size, err := s.readSegment(last)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -97,21 +98,21 @@
 		if s.state != nil && s.state.sealed[ref.Name] != nil {
 			continue
 		}
-		older, _, err := s.read(ref.Name)
+		older, _, err := s.readSegment(ref.Name)
 		if err != nil {
 			return nil, nil, err
 		}
 		added[ref.Name] = older.Entries
 	}
-	return x.list(last, size), added, nil
+	return x.allSegments(last, size), added, nil
 }
 
-// read gets one segment and its stored size.
-func (s *shard) read(name string) (segment, int, error) {
+// readSegment reads one segment and returns it with its stored size.
+func (s *shard) readSegment(name string) (segment, int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), durable.CallTimeout)
 	defer cancel()
 	s.l.metrics.reads.Inc()
-	o, err := s.l.store.Get(ctx, durable.Key{Kind: kind, Name: name})
+	o, err := s.l.store.Get(ctx, durable.Key{Kind: objectKind, Name: name})
 	if err != nil {
 		return segment{}, 0, err
 	}
@@ -120,7 +121,7 @@
 	return x, len(o.Value), err
 }
 
-// adopt makes a head that is in the store the shard's state.
+// adopt makes a head in the store, of size bytes, the shard's state.
 func (s *shard) adopt(version int64, p proposal, size int) {
 	if version != s.state.version {
 		s.unsettled = false
@@ -128,17 +129,17 @@
 	s.state.version = version
 	s.state.head = p.entries
 	s.state.setSegments(p.segments, p.added)
-	if hour := hourOf(time.Now()); len(p.added) > 0 && s.indexedAt != hour {
-		s.indexedAt = hour
+	if hour := hourOf(time.Now()); len(p.added) > 0 && s.reindexedAt != hour {
+		s.reindexedAt = hour
 		s.state.reindex()
 	}
-	s.state.size = size
-	s.discard(p.drop)
-	s.describe()
+	s.state.headSize = size
+	s.deleteSegments(p.obsolete)
+	s.updateInfo()
 }
 
-// seal writes the segment that takes over the head's entries and gives the head
-// that follows. A segment that is there already has the same content (see planSeal).
+// seal writes the segment that takes over the head's entries, and returns the head that refers
+// to it. If an object of that name exists, it has the same content (see planSeal).
 func (s *shard) seal(p plan, hour uint32) (proposal, error) {
 	x, err := s.state.planSeal(s.number, hour)
 	if err != nil {
@@ -146,8 +147,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), durable.CallTimeout)
 	defer cancel()
-	_, err = s.l.store.Put(ctx, durable.Key{Kind: kind, Name: x.name}, x.value, 0)
-	s.l.metrics.sealed(err)
+	_, err = s.l.store.Put(ctx, durable.Key{Kind: objectKind, Name: x.name}, x.value, 0)
+	s.l.metrics.countSeal(err)
 	if err != nil && !errors.Is(err, durable.ErrConflict) {
 		return proposal{}, err
 	}
@@ -155,20 +156,20 @@
 		segments: x.list,
 		entries:  p.changes,
 		added:    map[string][]Entry{x.name: x.entries},
-		drop:     x.drop,
+		obsolete: x.obsolete,
 	}, nil
 }
 
-// discard deletes segments that no head names any more. Failure leaves garbage
-// that costs space alone; Sweep finds it.
-func (s *shard) discard(names []string) {
+// deleteSegments deletes segments that no head refers to any more. After a failure the object
+// only takes up space, and Sweep deletes it.
+func (s *shard) deleteSegments(names []string) {
 	for _, name := range names {
-		s.l.remove(durable.Key{Kind: kind, Name: name})
+		s.l.deleteInBackground(durable.Key{Kind: objectKind, Name: name})
 	}
 }
 
-// remove deletes an object in the background, whatever its version.
-func (l *Ledger) remove(key durable.Key) {
+// deleteInBackground deletes an object in the background, whatever its version.
+func (l *Ledger) deleteInBackground(key durable.Key) {
 	l.workers.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), durable.CallTimeout)
 		defer cancel()
--- a/ledger/op.go
+++ b/ledger/op.go
@@ -1,6 +1,6 @@
 package ledger
 
-// opKind is what an operation does to a key.
+// opKind is the kind of an operation on a key.
 type opKind uint8
 
 const (
@@ -10,14 +10,13 @@
 	opClose
 )
 
-// op is one operation on one key. Applying it twice has the effect of applying
-// it once: its nonce tells its own entry. That is what makes it safe to apply
-// again after a lost reply of the platform or of a peer.
+// op is one operation on one key. It is idempotent: its nonce identifies the entry that it
+// wrote, so it can be applied again after a lost reply from the platform or a peer.
 type op struct {
 	Kind        opKind      `cbor:"1,keyasint"`
 	Key         Key         `cbor:"2,keyasint"`
 	Nonce       uint64      `cbor:"3,keyasint"`
-	Hours       uint32      `cbor:"4,keyasint"` // retention from the time of the write
+	Hours       uint32      `cbor:"4,keyasint"` // retention, counted from the time of the write
 	Fingerprint Fingerprint `cbor:"5,keyasint,omitempty"`
 	VM          string      `cbor:"6,keyasint,omitempty"`
 	Incarnation uint64      `cbor:"7,keyasint,omitempty"`
@@ -27,31 +26,31 @@
 	Omitted     bool        `cbor:"11,keyasint,omitempty"`
 }
 
-// verdict is how an operation ended.
+// verdict is the outcome of an operation.
 type verdict uint8
 
 const (
-	// verdictMine: the entry is this writer's and in the state asked for.
+	// verdictMine means that the entry is this writer's and in the requested state.
 	verdictMine verdict = iota + 1
-	// verdictOther: another writer's entry stands.
+	// verdictOther means that the entry is another writer's.
 	verdictOther
-	// verdictOtherBody: the key was used for another request.
+	// verdictOtherBody means that the key was used for a request with another fingerprint.
 	verdictOtherBody
-	// verdictFenced: the writer's own claim is closed already.
+	// verdictFenced means that the writer's own claim is closed already.
 	verdictFenced
-	// verdictMissing: no entry to change.
+	// verdictMissing means that the key has no entry to change.
 	verdictMissing
 )
 
-// result is the entry as it stands after the operation, and the verdict.
+// result holds the verdict on an operation and the entry after it.
 type result struct {
 	Verdict verdict `cbor:"1,keyasint"`
 	Entry   Entry   `cbor:"2,keyasint"`
 }
 
-// apply gives the entry after o, whether it differs from e, and the result. An
-// entry's expiry never falls, even if VMs' clocks differ: see planSeal.
-// e is nil when the key has no live entry; hour is now.
+// apply returns the entry after o, whether it differs from e, and the result. e is nil if the
+// key has no live entry; hour is the current hour. The expiry of an entry never decreases, even
+// if the clocks of VMs differ; planSeal depends on this.
 func apply(e *Entry, o op, hour uint32) (next Entry, changed bool, r result) {
 	switch o.Kind {
 	case opDecide:
@@ -69,8 +68,8 @@
 	return next, changed, r
 }
 
-// applyDecide keeps the first value. A use in the last half of an entry's life
-// renews it, so that a long session does not lose its pin between two requests.
+// applyDecide keeps the first value. A use in the second half of an entry's lifetime renews it,
+// so that a long session does not lose its pin between two requests.
 func applyDecide(e *Entry, o op, hour uint32) (Entry, bool, result) {
 	if e == nil {
 		n := Entry{Key: o.Key, State: StateDecided, Nonce: o.Nonce, Expire: hour + o.Hours, Value: o.Value}
@@ -81,10 +80,10 @@
 	if renew {
 		next.Expire = hour + o.Hours
 	}
-	return next, renew, result{Verdict: ownership(e, o)}
+	return next, renew, result{Verdict: ownerVerdict(e, o)}
 }
 
-func ownership(e *Entry, o op) verdict {
+func ownerVerdict(e *Entry, o op) verdict {
 	if e.Nonce == o.Nonce {
 		return verdictMine
 	}
@@ -94,24 +93,24 @@
 func applyBegin(e *Entry, o op, hour uint32) (Entry, bool, result) {
 	switch {
 	case e == nil:
-		return claimed(o, hour, 1), true, result{Verdict: verdictMine}
+		return newClaim(o, hour, 1), true, result{Verdict: verdictMine}
 	case e.Nonce == o.Nonce && e.State == StateOpen:
 		return *e, false, result{Verdict: verdictMine}
 	case e.Nonce == o.Nonce:
-		// The claimant gave up, and this is its own begin arriving after the
-		// close: reopening would leave a claim that nobody finishes.
+		// The claimant gave up, and its own begin arrives after the close. Opening the claim
+		// again would leave a claim that is never finished.
 		return *e, false, result{Verdict: verdictFenced}
 	case e.Fingerprint != o.Fingerprint:
 		return *e, false, result{Verdict: verdictOtherBody}
 	case e.State == StateNotRun:
-		next := claimed(o, hour, e.Generation+1)
+		next := newClaim(o, hour, e.Generation+1)
 		next.Expire = max(e.Expire, next.Expire)
 		return next, true, result{Verdict: verdictMine}
 	}
 	return *e, false, result{Verdict: verdictOther}
 }
 
-func claimed(o op, hour, generation uint32) Entry {
+func newClaim(o op, hour, generation uint32) Entry {
 	return Entry{
 		Key: o.Key, State: StateOpen, Nonce: o.Nonce, Expire: hour + o.Hours,
 		Generation: generation, Fingerprint: o.Fingerprint,
@@ -119,8 +118,8 @@
 	}
 }
 
-// applyFinish records the outcome. "Unknown" may still become "done" when the
-// claimant learns more; nothing else changes a finished claim.
+// applyFinish records the outcome of a claim. The state "unknown" may still become "done" if
+// the claimant learns the outcome; nothing else changes a finished claim.
 func applyFinish(e *Entry, o op, hour uint32) (Entry, bool, result) {
 	if e == nil {
 		return Entry{Key: o.Key}, false, result{Verdict: verdictMissing}
@@ -128,9 +127,9 @@
 	if e.Nonce != o.Nonce {
 		return *e, false, result{Verdict: verdictOther}
 	}
-	learns := e.State == StateOpen || e.State == StateUnknown && o.State == StateDone
-	if !learns {
-		return *e, false, result{Verdict: ownState(e, o.State)}
+	mayChange := e.State == StateOpen || e.State == StateUnknown && o.State == StateDone
+	if !mayChange {
+		return *e, false, result{Verdict: stateVerdict(e, o.State)}
 	}
 	next := *e
 	next.State, next.Status, next.Value, next.Omitted = o.State, o.Status, o.Value, o.Omitted
@@ -138,19 +137,19 @@
 	return next, true, result{Verdict: verdictMine}
 }
 
-func ownState(e *Entry, want State) verdict {
+func stateVerdict(e *Entry, want State) verdict {
 	if e.State == want {
 		return verdictMine
 	}
 	return verdictFenced
 }
 
-// applyClose records that the claim's request did not run. Without an entry it
-// leaves one all the same: the claim's own write may be on its way still (lost
-// by the platform or held by a peer), and must find itself closed.
+// applyClose records that the claim's request did not run. If there is no entry, it creates a
+// closed one: the claim's own write may still arrive, delayed by the platform or by a peer, and
+// must then find the claim closed.
 func applyClose(e *Entry, o op, hour uint32) (Entry, bool, result) {
 	if e == nil {
-		n := claimed(o, hour, 1)
+		n := newClaim(o, hour, 1)
 		n.State = StateNotRun
 		return n, true, result{Verdict: verdictMine}
 	}
@@ -158,7 +157,7 @@
 		return *e, false, result{Verdict: verdictOther}
 	}
 	if e.State != StateOpen {
-		return *e, false, result{Verdict: ownState(e, StateNotRun)}
+		return *e, false, result{Verdict: stateVerdict(e, StateNotRun)}
 	}
 	next := *e
 	next.State = StateNotRun
--- a/ledger/process_test.go
+++ b/ledger/process_test.go
@@ -24,23 +24,22 @@
 	"goldcrestfork/standin/store"
 )
 
-// Three VMs, as processes over loopback, bring the same orders to one service,
-// each in its own sequence, as callers do who send an order again elsewhere. A
-// VM is killed while its order runs, another is frozen there while the others
-// pass its order, and the store goes down for a while. No order may run twice,
-// and a VM that says "done" must be right.
+// Guards against orders that run twice and against a wrong answer "done". Three VMs, as
+// processes over loopback, submit the same orders to one service, each in its own sequence, as
+// callers do that send an order again to another VM. One VM is killed while its order runs,
+// another is frozen while the others pass its order, and the store is down for a while.
 
 const (
 	processVMs    = 3
 	processOrders = 60
-	killAt        = 7  // the order at which its VM is killed; another takes its place
-	freezeAt      = 15 // the order at which its VM is frozen
+	killAt        = 7  // number of the run at which its VM is killed; a new process replaces it
+	freezeAt      = 15 // number of the run at which its VM is frozen
 	thawAt        = 30
 	outageAt      = 35
-	outageCalls   = 8 // calls that the store refuses before it is back
+	outageCalls   = 8 // calls that the store refuses during the outage
 )
 
-// modelSeed of the model test's schedules.
+// modelSeed is the rapid seed of the model test's schedules.
 const modelSeed = "20261202"
 
 const (
@@ -57,7 +56,7 @@
 		}
 		return
 	}
-	// The same schedules in each run of CI; -rapid.seed on the command line wins.
+	// Every CI run uses the same schedules; -rapid.seed on the command line takes precedence.
 	if err := flag.Set("rapid.seed", modelSeed); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -65,7 +64,7 @@
 	os.Exit(m.Run())
 }
 
-// vmProcess brings all orders, starting at a place of its own.
+// vmProcess runs one VM: it submits all orders, starting at an offset of its own.
 func vmProcess() error {
 	number, err := strconv.Atoi(os.Getenv(envVM))
 	if err != nil {
@@ -77,7 +76,7 @@
 	for i := range processOrders {
 		order := strconv.Itoa((i + number*processOrders/processVMs) % processOrders)
 		_, err := backoff.Retry(context.Background(), func() (struct{}, error) {
-			return struct{}{}, bring(claims, order)
+			return struct{}{}, submitOrder(claims, order)
 		})
 		if err != nil {
 			return err
@@ -87,9 +86,10 @@
 	return nil
 }
 
-// bring claims, runs and finishes one order, or leaves it to whom it belongs;
-// an error says "not run", and the order is brought again.
-func bring(claims *ledger.Claims, order string) error {
+// submitOrder claims, runs and finishes one order, or leaves it to the VM that has claimed it.
+// After an error other than a permanent one the order did not run, and the caller submits it
+// again.
+func submitOrder(claims *ledger.Claims, order string) error {
 	ctx := context.Background()
 	start, err := claims.Begin(ctx, ledger.ClaimKey{Account: "cluj", IdempotencyKey: order}, 1)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 	if start.Repeat != nil {
 		if start.Repeat.State == ledger.StateDone && string(start.Repeat.Answer) != order {
-			return backoff.Permanent(errors.New("told done with another order's answer"))
+			return backoff.Permanent(errors.New("a repeat got another order's answer"))
 		}
 		return nil
 	}
@@ -112,10 +112,10 @@
 	return nil
 }
 
-// service counts what runs and brings the failures about at certain orders.
+// service counts the runs of each order and triggers the failures at certain runs.
 type service struct {
 	store  *store.Store
-	refuse atomic.Int64 // calls until the outage ends
+	refuse atomic.Int64 // calls until the end of the outage
 	urls   [2]string
 	exited sync.WaitGroup
 
@@ -158,7 +158,7 @@
 	}
 }
 
-// platform serves the store; the outage ends after a number of calls.
+// platform serves the store and ends the outage after a number of calls.
 func (s *service) platform() http.Handler {
 	h := store.Handler(s.store)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -206,7 +206,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	require.Empty(t, s.failed)
-	require.Len(t, s.runs, processOrders, "every order ran")
+	require.Len(t, s.runs, processOrders, "not every order ran")
 	for order, runs := range s.runs {
 		require.Equal(t, 1, runs, "order %s", order)
 	}
--- a/ledger/settle.go
+++ b/ledger/settle.go
@@ -7,75 +7,76 @@
 )
 
 const (
-	// settleKept bounds what is owed to the store. Grounds: at the size designed
-	// for a VM has about 1.5 claims a second, so this outlasts an hour's outage.
-	settleKept = 8192
-	// settleChunk is how many operations go into one call to a shard.
-	settleChunk = 128
-	// settlePause is the wait between rounds while the store is away.
-	settlePause = 2 * time.Second
+	// settleCapacity is the maximum number of pending outcomes. A VM has about 1.5 claims a
+	// second at the intended size, so the capacity lasts for an outage of more than an hour.
+	settleCapacity = 8192
+	// settleBatchSize is the maximum number of operations in one call to a shard.
+	settleBatchSize = 128
+	// settleInterval is the wait between rounds while the store is unavailable.
+	settleInterval = 2 * time.Second
 )
 
-// settler records outcomes that the store did not take at once. It loses them
-// with its VM; their claims then stay open, which forbids a second run.
+// settler records in the background the outcomes that the store did not take at once. They are
+// lost if the VM crashes; their claims then stay open, which forbids a second run.
 type settler struct {
 	ledger *Ledger
 
 	mu      sync.Mutex
-	owed    []op
+	pending []op
 	running bool
 	stopped bool
-	idle    chan struct{} // closed when the worker has ended
+	idle    chan struct{} // closed when the worker ends
 }
 
-// add takes an operation over.
+// add queues an operation; if settleCapacity are pending, it drops the operation and counts it
+// as lost.
 func (s *settler) add(o op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.owed) >= settleKept {
-		s.ledger.metrics.lost.Inc()
+	if len(s.pending) >= settleCapacity {
+		s.ledger.metrics.settleLost.Inc()
 		return
 	}
-	s.owed = append(s.owed, o)
-	s.ledger.metrics.pending.Set(float64(len(s.owed)))
+	s.pending = append(s.pending, o)
+	s.ledger.metrics.settlePending.Set(float64(len(s.pending)))
 	if s.running || s.stopped {
 		return
 	}
 	s.running = true
 	s.idle = make(chan struct{})
-	go s.run()
+	go s.settleLoop()
 }
 
-// run settles round after round until nothing is owed.
-func (s *settler) run() {
+// settleLoop runs rounds until no operation is pending or the settler is stopped.
+func (s *settler) settleLoop() {
 	for {
-		s.round()
+		s.settleAll()
 		s.mu.Lock()
-		if len(s.owed) == 0 || s.stopped {
+		if len(s.pending) == 0 || s.stopped {
 			s.running = false
 			close(s.idle)
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Unlock()
-		time.Sleep(settlePause)
+		time.Sleep(settleInterval)
 	}
 }
 
-// round tries all that is owed, shard by shard, and stops at the first shard
-// that fails: in an outage the others would fail as well.
-func (s *settler) round() {
+// settleAll tries all pending operations, shard by shard. It stops at the first shard that
+// fails, because in an outage the others would fail as well.
+func (s *settler) settleAll() {
 	byShard := map[int][]op{}
 	s.mu.Lock()
-	for _, o := range s.owed {
+	for _, o := range s.pending {
 		n := o.Key.Shard()
 		byShard[n] = append(byShard[n], o)
 	}
 	s.mu.Unlock()
 	for number, ops := range byShard {
 		for len(ops) > 0 {
-			n := min(len(ops), settleChunk)
-			if !s.try(number, ops[:n]) {
+			n := min(len(ops), settleBatchSize)
+			if !s.settleBatch(number, ops[:n]) {
 				return
 			}
 			ops = ops[n:]
@@ -83,19 +84,19 @@
 	}
 }
 
-// try settles operations of one shard.
-func (s *settler) try(number int, ops []op) bool {
+// settleBatch commits operations of one shard and reports whether it succeeded.
+func (s *settler) settleBatch(number int, ops []op) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), s.ledger.settings.Timeout)
 	defer cancel()
 	if _, err := s.ledger.shard(number).submit(ctx, ops); err != nil {
 		return false
 	}
-	s.settled(ops)
+	s.removePending(ops)
 	return true
 }
 
-// settled takes operations off what is owed.
-func (s *settler) settled(ops []op) {
+// removePending removes operations from the pending ones.
+func (s *settler) removePending(ops []op) {
 	type id struct {
 		kind  opKind
 		nonce uint64
@@ -108,17 +109,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var left []op
-	for _, o := range s.owed {
+	for _, o := range s.pending {
 		if !done[id{o.Kind, o.Nonce, o.State}] {
 			left = append(left, o)
 		}
 	}
-	s.owed = left
-	s.ledger.metrics.pending.Set(float64(len(left)))
+	s.pending = left
+	s.ledger.metrics.settlePending.Set(float64(len(left)))
 }
 
-// drain waits until nothing is owed or the context ends, and gives what is left.
-func (s *settler) drain(ctx context.Context) int {
+// close waits until no operation is pending or the context ends, stops the settler, and returns
+// the number of operations left. They are counted as lost.
+func (s *settler) close(ctx context.Context) int {
 	s.mu.Lock()
 	idle := s.idle
 	s.mu.Unlock()
@@ -132,7 +134,7 @@
 	defer s.mu.Unlock()
 	if !s.stopped {
 		s.stopped = true
-		s.ledger.metrics.lost.Add(float64(len(s.owed)))
+		s.ledger.metrics.settleLost.Add(float64(len(s.pending)))
 	}
-	return len(s.owed)
+	return len(s.pending)
 }
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -8,19 +8,19 @@
 	"goldcrestfork/durable"
 )
 
-// call is what one caller wants of a shard; its operations go into one write.
+// call holds the operations of one submit; they are committed in one write.
 type call struct {
 	ctx  context.Context
 	ops  []op
 	size int
-	done chan reply // holds one
-	// tainted: a write with these operations had no reply and may yet take effect.
-	tainted bool
+	done chan reply // has a buffer of one
+	// inDoubt is set if a write with these operations had no reply and may still take effect.
+	inDoubt bool
 
-	// The rest is guarded by shard.mu.
+	// The fields below are guarded by shard.mu.
 
-	carried bool // a write with these operations is under way, or they are tainted
-	gone    bool // the caller has left, sure that nothing will happen
+	inWrite   bool // a write with these operations is under way, or inDoubt is set
+	abandoned bool // the caller stopped waiting and was told that its operations have no effect
 }
 
 type reply struct {
@@ -28,8 +28,8 @@
 	err     error
 }
 
-// shard gathers operations and commits them one write at a time. Its worker
-// runs only while there is something to do.
+// shard queues operations and commits them in batches, one write at a time. Its worker
+// goroutine runs only while operations are queued.
 type shard struct {
 	l      *Ledger
 	number int
@@ -38,23 +38,23 @@
 	mu      sync.Mutex
 	queue   []*call
 	running bool
-	used    time.Time // the last time that the worker ran
-	info    ShardInfo // for Dump
+	used    time.Time // time at which the worker last took operations
+	info    ShardInfo // copy for Dump
 
-	// The rest belongs to the worker while it runs.
+	// The fields below belong to the worker while it runs.
 
-	state *state // nil: read the head first
-	// unsettled: a write at the state's version had no reply. Until the head has
-	// moved on, that write may still take effect, so nothing may be answered
-	// from the state alone: the next write at the same version either shows by
-	// its conflict that the first took effect, or makes that impossible.
+	state *state // nil until the head is loaded
+	// unsettled is set if a write at the state's version had no reply. That write may take
+	// effect until the head's version has changed, so no call is answered from the state alone.
+	// The next write at the same version either conflicts, which shows that the first took
+	// effect, or makes that impossible.
 	unsettled bool
-	// indexedAt is the hour of the last new index.
-	indexedAt uint32
-	writes    int
+	// reindexedAt is the hour in which the index was last rebuilt.
+	reindexedAt uint32
+	writes      int
 }
 
-// submit queues operations and waits for their results.
+// submit queues operations, which all belong to this shard, and waits for their results.
 func (s *shard) submit(ctx context.Context, ops []op) ([]result, error) {
 	c := &call{ctx: ctx, ops: ops, done: make(chan reply, 1)}
 	for _, o := range ops {
@@ -77,11 +77,11 @@
 }
 
 // opOverhead is the size of an entry without its value, in bytes, rounded up
-// (measured: docs/design/ledger.md).
+// (docs/design/ledger.md).
 const opOverhead = 128
 
-// abandon takes a call back whose caller no longer waits. Unless a write
-// carries it, it is sure to have no effect from now on.
+// abandon withdraws a call whose caller stops waiting. Unless a write contains its operations,
+// they can have no effect from now on.
 func (s *shard) abandon(c *call) ([]result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,43 +90,44 @@
 		return r.results, r.err
 	default:
 	}
-	if c.carried {
+	if c.inWrite {
 		return nil, ErrUnknown
 	}
-	c.gone = true
+	c.abandoned = true
 	return nil, ErrUnavailable
 }
 
-// carry marks the calls that the next write takes along; false says that some
-// caller has left meanwhile, so that the write must be planned again without it.
-func (s *shard) carry(batch []*call) bool {
+// markInWrite marks the calls of the next write. It returns false if some caller has stopped
+// waiting; the write must then be planned again without its call.
+func (s *shard) markInWrite(batch []*call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range batch {
-		if c.gone {
+		if c.abandoned {
 			return false
 		}
 	}
 	for _, c := range batch {
-		c.carried = true
+		c.inWrite = true
 	}
 	return true
 }
 
-// release unmarks calls after a write that is known to have had no effect.
-func (s *shard) release(batch []*call) {
+// unmarkInWrite removes the marks after a write that is known to have had no effect. Calls in
+// doubt keep theirs.
+func (s *shard) unmarkInWrite(batch []*call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range batch {
-		c.carried = c.tainted
+		c.inWrite = c.inDoubt
 	}
 }
 
-// run commits until the queue is empty.
+// run commits batches until the queue is empty.
 func (s *shard) run() {
 	for {
 		s.mu.Lock()
-		batch := s.join(nil)
+		batch := s.takeQueued(nil)
 		s.running = len(batch) > 0
 		s.used = time.Now()
 		s.mu.Unlock()
@@ -137,15 +138,16 @@
 	}
 }
 
-// join adds waiting calls to batch while they fit into one write. Callers hold s.mu.
-func (s *shard) join(batch []*call) []*call {
+// takeQueued moves calls from the queue to batch while they fit into one write. Callers hold
+// s.mu.
+func (s *shard) takeQueued(batch []*call) []*call {
 	size := 0
 	for _, c := range batch {
 		size += c.size
 	}
 	for len(s.queue) > 0 {
 		next := s.queue[0]
-		if len(batch) > 0 && (s.l.alone || size+next.size > maxBatch) {
+		if len(batch) > 0 && (s.l.noGroupCommit || size+next.size > maxBatch) {
 			break
 		}
 		size += next.size
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -10,42 +10,44 @@
 
 // Sizes of a shard's objects, in bytes.
 const (
-	// sealBytes is the head's size from which its entries move to a segment.
-	// Grounds: every write carries the head, and a node has 14 KB/s for control.
+	// sealBytes is the size of the head above which its entries are moved to a segment. Every
+	// write carries the head, and a node has 14 KB/s for control traffic.
 	sealBytes = 8 << 10
-	// maxSegment keeps a segment clear of durable.MaxValue.
+	// maxSegment is the maximum size of a merged segment, below durable.MaxValue.
 	maxSegment = 896 << 10
-	// maxBatch bounds what one write adds to a head.
+	// maxBatch is the maximum size of the operations in one write.
 	maxBatch = 512 << 10
-	// mergeRun is how many segments of like size become one: each entry is
-	// written again once per factor of four in size, and a lookup by a VM that
-	// takes over reads few objects.
-	mergeRun = 4
+	// mergeFactor is the number of segments of similar size that are merged into one. Each entry
+	// is rewritten once for each factor of four in size, and a VM that takes over a shard reads
+	// few objects.
+	mergeFactor = 4
 )
 
-// segmentRef is what is known of a segment without reading it.
+// segmentRef describes a segment without its entries.
 type segmentRef struct {
 	Name   string `cbor:"1,keyasint"`
 	Size   int    `cbor:"2,keyasint"`
-	Expire uint32 `cbor:"3,keyasint"` // the latest of its entries
+	Expire uint32 `cbor:"3,keyasint"` // the latest expiry of its entries
 }
 
-// head is the value of a shard's head object. It names the newest segment
-// alone: every write carries the head, and a day's list of segments would be
-// most of its bytes.
+// head is the value of a shard's head object. It refers only to the newest segment, because
+// every write carries the head and the list of a day's segments would make up most of its
+// bytes.
 type head struct {
 	Newest  string  `cbor:"1,keyasint,omitempty"`
-	Entries []Entry `cbor:"2,keyasint"` // by key
+	Entries []Entry `cbor:"2,keyasint"` // sorted by key
 }
 
-// segment is the value of a segment. The newest one's list is the shard's.
+// segment is the value of a segment object. The newest segment holds the shard's list of older
+// ones.
 type segment struct {
 	Older   []segmentRef `cbor:"1,keyasint"` // oldest first
-	Entries []Entry      `cbor:"2,keyasint"` // by key
+	Entries []Entry      `cbor:"2,keyasint"` // sorted by key
 }
 
-// list gives all segments of a shard whose newest this is, stored as name in size bytes.
-func (s segment) list(name string, size int) []segmentRef {
+// allSegments returns the shard's segments, if this one is the newest and is stored as name
+// with an encoded size in bytes.
+func (s segment) allSegments(name string, size int) []segmentRef {
 	ref := segmentRef{Name: name, Size: size - segmentRefSize*len(s.Older)}
 	for _, e := range s.Entries {
 		ref.Expire = max(ref.Expire, e.Expire)
@@ -56,15 +58,15 @@
 // segmentRefSize is the encoded size of a segmentRef, in bytes, rounded.
 const segmentRefSize = 40
 
-// state is a shard as of one version of its head.
+// state is the content of a shard at one version of its head.
 type state struct {
 	version  int64
 	head     map[Key]Entry
-	size     int // of the head's entries when last encoded
+	headSize int // encoded size of the head in bytes
 	segments []segmentRef
-	// sealed holds the entries of each segment of segments, by name.
+	// sealed holds the entries of each segment in segments, by name.
 	sealed map[string][]Entry
-	// index finds the newest sealed entry of a key.
+	// index holds the newest sealed entry of each key.
 	index map[Key]*Entry
 }
 
@@ -72,7 +74,7 @@
 	return &state{head: map[Key]Entry{}, sealed: map[string][]Entry{}, index: map[Key]*Entry{}}
 }
 
-// lookup gives the live entry of a key, or nil.
+// lookup returns the live entry of a key, or nil.
 func (s *state) lookup(k Key, hour uint32) *Entry {
 	e, ok := s.head[k]
 	if !ok {
@@ -88,19 +90,20 @@
 	return &e
 }
 
-// expired leaves an hour of grace beyond the retention that callers are told,
-// since VMs' clocks differ.
+// expired reports whether an entry's retention is over. It adds one hour to the retention that
+// callers know, because the clocks of VMs differ.
 func expired(expire, hour uint32) bool { return hour > expire+1 }
 
-// plan is what one write would change.
+// plan holds the results and the changes of one write.
 type plan struct {
 	results []result
 	changes map[Key]Entry
-	// final: the results hold whatever others wrote since the state was read.
+	// final is set if the results hold whatever other VMs have written since the state was
+	// loaded.
 	final bool
 }
 
-// plan applies operations in order.
+// plan applies operations in order, without changing the state.
 func (s *state) plan(ops []op, hour uint32) plan {
 	p := plan{changes: map[Key]Entry{}, final: true}
 	for _, o := range ops {
@@ -118,8 +121,8 @@
 	return p
 }
 
-// with gives the head's entries after changes.
-func (s *state) with(changes map[Key]Entry) map[Key]Entry {
+// headWith returns the head's entries after changes.
+func (s *state) headWith(changes map[Key]Entry) map[Key]Entry {
 	out := make(map[Key]Entry, len(s.head)+len(changes))
 	for k, e := range s.head {
 		out[k] = e
@@ -130,26 +133,27 @@
 	return out
 }
 
-// seal is a segment to be written before the head that names it.
-type seal struct {
+// sealPlan describes a segment that is written before the head that refers to it.
+type sealPlan struct {
 	name    string
 	value   []byte
 	entries []Entry
-	// list is that of the shard afterwards; drop are the segments not in it any more.
-	list []segmentRef
-	drop []string
-	// from is the first of the segments that the new one replaces.
+	// list holds the shard's segments after the write; obsolete names those that are no longer
+	// in it.
+	list     []segmentRef
+	obsolete []string
+	// from is the index of the first segment that the new one replaces.
 	from int
 }
 
-// planSeal gives the segment that takes the head's entries, and those of the
-// newest segments when enough of like size have gathered. Its content is a
-// function of the head's version, of from and of the hour, and all three are in
-// its name: two VMs that seal at once either write the same bytes or different
-// objects, never one object with the other's gaps. Expired entries may be left
-// out because an entry's expiry never falls: what they hide has expired too.
-func (s *state) planSeal(shard int, hour uint32) (seal, error) {
-	from := mergeFrom(s.segments, s.size)
+// planSeal returns the segment that takes the head's entries, and those of the newest segments
+// once enough of similar size exist. Its content is a function of the head's version, of from
+// and of the hour, and its name contains all three. Two VMs that seal at the same time
+// therefore write either the same bytes or different objects; neither overwrites the other's
+// segment with one that lacks entries. Expired entries may be omitted because an entry's expiry
+// never decreases: older entries of the same key have expired too.
+func (s *state) planSeal(shard int, hour uint32) (sealPlan, error) {
+	from := mergeFrom(s.segments, s.headSize)
 	merged := map[Key]Entry{}
 	for _, ref := range s.segments[from:] {
 		for _, e := range s.sealed[ref.Name] {
@@ -164,19 +168,20 @@
 			delete(merged, k)
 		}
 	}
-	older, drop := s.kept(from, hour)
-	next := segment{Older: older, Entries: sorted(merged)}
+	older, drop := s.splitSegments(from, hour)
+	next := segment{Older: older, Entries: sortedByKey(merged)}
 	value, err := cbor.Marshal(next)
 	if err != nil {
-		return seal{}, err
+		return sealPlan{}, err
 	}
 	name := fmt.Sprintf("%s.%d.%d.%d", headName(shard), s.version, from, hour)
-	list := next.list(name, len(value))
-	return seal{name: name, value: value, entries: next.Entries, list: list, drop: drop, from: from}, nil
+	list := next.allSegments(name, len(value))
+	return sealPlan{name: name, value: value, entries: next.Entries, list: list, obsolete: drop, from: from}, nil
 }
 
-// kept parts the segments into those before from that have not expired, and the rest.
-func (s *state) kept(from int, hour uint32) (older []segmentRef, drop []string) {
+// splitSegments returns the segments before from that have not expired, and the names of all
+// others.
+func (s *state) splitSegments(from int, hour uint32) (older []segmentRef, drop []string) {
 	for i, ref := range s.segments {
 		if i >= from || expired(ref.Expire, hour) {
 			drop = append(drop, ref.Name)
@@ -187,7 +192,8 @@
 	return older, drop
 }
 
-// mergeFrom gives the index of the first segment to merge with a new one of size.
+// mergeFrom returns the index of the first segment to merge with a new one of size bytes;
+// len(segments) if there is none.
 func mergeFrom(segments []segmentRef, size int) int {
 	from := len(segments)
 	for {
@@ -196,14 +202,14 @@
 			first--
 			total += segments[first].Size
 		}
-		if from-first < mergeRun-1 {
+		if from-first < mergeFactor-1 {
 			return from
 		}
 		from, size = first, total
 	}
 }
 
-func sorted(m map[Key]Entry) []Entry {
+func sortedByKey(m map[Key]Entry) []Entry {
 	out := make([]Entry, 0, len(m))
 	for _, e := range m {
 		out = append(out, e)
@@ -212,9 +218,9 @@
 	return out
 }
 
-// setSegments replaces the list of segments; those that are not at hand must be
-// in added. They are newer than all that stay, since a merge only ever replaces
-// the end of the list; so it suffices to index those.
+// setSegments replaces the list of segments. added must hold the entries of those that are not
+// loaded yet. Only these are indexed: they are newer than all segments that stay, since a merge
+// always replaces the end of the list.
 func (s *state) setSegments(refs []segmentRef, added map[string][]Entry) {
 	s.segments = refs
 	if len(added) == 0 {
@@ -239,7 +245,7 @@
 	}
 }
 
-// reindex frees the entries that are in no segment any more.
+// reindex rebuilds the index, to free the entries that are in no segment any more.
 func (s *state) reindex() {
 	s.index = make(map[Key]*Entry, len(s.index))
 	for _, ref := range s.segments {
@@ -247,8 +253,8 @@
 	}
 }
 
-// newest names the newest segment, if there is one.
-func newest(list []segmentRef) string {
+// newestName returns the name of the newest segment, or "" if there is none.
+func newestName(list []segmentRef) string {
 	if len(list) == 0 {
 		return ""
 	}
--- a/ledger/state_test.go
+++ b/ledger/state_test.go
@@ -13,14 +13,14 @@
 	"goldcrestfork/standin/store"
 )
 
-// sealing returns a ledger that seals every few entries.
-func sealing(s durable.Store, vm string) *Ledger {
+// newSealingLedger returns a ledger that seals after every few entries.
+func newSealingLedger(s durable.Store, vm string) *Ledger {
 	l := New(s, nil, nil, Settings{VM: vm, WritesPerSecond: -1})
-	l.sealAt = modelSeal
+	l.sealAt = modelSealSize
 	return l
 }
 
-func decideAll(t *testing.T, l *Ledger, keys []Key, hours uint32) {
+func requireDecided(t *testing.T, l *Ledger, keys []Key, hours uint32) {
 	t.Helper()
 	for i, k := range keys {
 		_, mine, err := l.Decide(t.Context(), k, fmt.Append(nil, i), hours)
@@ -29,17 +29,18 @@
 	}
 }
 
-// Hundreds of entries leave the head for segments, which merge: any VM finds
-// them all in a few objects, and after their retention they leave the store.
+// Guards against entries that are lost or kept when hundreds of them move from the head to
+// segments, which merge. Any VM must find all of them in a few objects, and after their
+// retention they leave the store.
 func TestSegments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
-		a := sealing(s, "a")
+		a := newSealingLedger(s, "a")
 		const n = 600
 		keys := keysOfShard(5, n+1)
-		decideAll(t, a, keys[:n], 24)
+		requireDecided(t, a, keys[:n], 24)
 		a.Wait()
-		b := sealing(s, "b")
+		b := newSealingLedger(s, "b")
 		for i, k := range keys[:n] {
 			v, mine, err := b.Decide(t.Context(), k, []byte("late"), 24)
 			require.NoError(t, err)
@@ -50,26 +51,27 @@
 		info := b.Dump().Shards[0]
 		require.Greater(t, info.Segments, 1)
 		require.Less(t, info.Segments, 16)
-		listing, err := s.List(t.Context(), kind)
+		listing, err := s.List(t.Context(), objectKind)
 		require.NoError(t, err)
-		require.Len(t, listing.Objects, info.Segments+1, "merged segments are deleted")
+		require.Len(t, listing.Objects, info.Segments+1, "merged segments were not deleted")
 
 		time.Sleep(27 * time.Hour)
-		decideAll(t, a, keys[n:], 24)
-		decideAll(t, a, keysOfShard(5, 3*n)[2*n:], 24)
+		requireDecided(t, a, keys[n:], 24)
+		requireDecided(t, a, keysOfShard(5, 3*n)[2*n:], 24)
 		a.Wait()
 		require.Nil(t, readBack(t, s, keys[0]))
 		sealed := a.Dump().Shards[0].Sealed
-		require.Less(t, sealed, n+10, "expired entries leave the memory too")
+		require.Less(t, sealed, n+10, "expired entries stay in memory")
 	})
 }
 
-// An entry in use does not expire; one that nobody uses does, after its grace.
+// An entry that is used does not expire; one that is not used does, after one hour beyond its
+// retention.
 func TestExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
-		used, left := keysOfShard(9, 2)[0], keysOfShard(9, 2)[1]
-		decideAll(t, testLedger(s, "a"), []Key{used, left}, 4)
+		used, unused := keysOfShard(9, 2)[0], keysOfShard(9, 2)[1]
+		requireDecided(t, testLedger(s, "a"), []Key{used, unused}, 4)
 		for range 5 {
 			time.Sleep(3 * time.Hour)
 			v, _, err := testLedger(s, "b").Decide(t.Context(), used, []byte("other"), 4)
@@ -77,12 +79,13 @@
 			require.Equal(t, "0", string(v))
 		}
 		require.NotNil(t, readBack(t, s, used))
-		require.Nil(t, readBack(t, s, left))
+		require.Nil(t, readBack(t, s, unused))
 	})
 }
 
-// VMs' clocks differ by an hour. An entry that expired before the one it hides
-// would bring that back: a finished claim would be open again.
+// Guards against a finished claim that becomes open again. The clocks of two VMs differ by an
+// hour; an entry that expires before the older entry that it replaces would make that one
+// visible again.
 func TestExpiryNeverFalls(t *testing.T) {
 	begin := op{Kind: opBegin, Nonce: 1, Hours: 24}
 	open, _, _ := apply(nil, begin, 101)
@@ -95,15 +98,16 @@
 	require.Equal(t, open.Expire, again.Expire)
 }
 
-// A VM dies between a seal and the head's write, at each call in turn: nothing
-// acknowledged is lost, and Sweep finds what it left behind.
+// Guards against lost entries and leftover segments. A VM crashes between writing a segment and
+// the head, at each of its calls in turn: no acknowledged value is lost, and Sweep deletes what
+// was left.
 func TestDeathAtEachCall(t *testing.T) {
 	for calls := 1; calls <= 40; calls++ {
 		for _, effect := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New()
 				dying := &vmStore{Store: s}
-				a := sealing(dying, "a")
+				a := newSealingLedger(dying, "a")
 				dying.dieAfter(calls, effect)
 				keys := keysOfShard(3, 30)
 				var acknowledged []Key
@@ -113,7 +117,7 @@
 					}
 				}
 				a.Wait()
-				b := sealing(s, "b")
+				b := newSealingLedger(s, "b")
 				for _, k := range keys {
 					_, _, err := b.Decide(t.Context(), k, []byte("w"), 24)
 					require.NoError(t, err)
@@ -126,49 +130,50 @@
 					require.NotNil(t, e)
 					require.Equal(t, "v", string(e.Value))
 				}
-				listing, err := s.List(t.Context(), kind)
+				listing, err := s.List(t.Context(), objectKind)
 				require.NoError(t, err)
-				require.Len(t, listing.Objects, b.Dump().Shards[0].Segments+1, "garbage is left")
+				require.Len(t, listing.Objects, b.Dump().Shards[0].Segments+1, "Sweep left segments that no head refers to")
 			})
 		}
 	}
 }
 
-// racingStore lets another VM act between one's seal and one's head write.
+// racingStore calls beforeHeadWrite between a VM's write of a segment and its write of the
+// head.
 type racingStore struct {
 	durable.Store
-	sealed bool
-	before func()
+	sealed          bool
+	beforeHeadWrite func()
 }
 
 func (r *racingStore) Put(ctx context.Context, k durable.Key, value []byte, at int64) (durable.Object, error) {
 	head := k.Name == headName(3)
-	if head && r.sealed && r.before != nil {
-		before := r.before
-		r.before = nil
+	if head && r.sealed && r.beforeHeadWrite != nil {
+		before := r.beforeHeadWrite
+		r.beforeHeadWrite = nil
 		before()
 	}
 	r.sealed = !head
 	return r.Store.Put(ctx, k, value, at)
 }
 
-// A VM has sealed and merged, and loses the race for the head. The segments
-// that the winner's head names must still be there.
+// Guards against the deletion of segments in use. A VM has written a merged segment and loses
+// the race for the head; the segments that the winner's head refers to must still exist.
 func TestLostRaceAfterSeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		r := &racingStore{Store: s}
-		a := sealing(r, "a")
+		a := newSealingLedger(r, "a")
 		keys := keysOfShard(3, 200)
 		other := keysOfShard(3, 400)[200:]
 		var won []Key
 		for i, k := range keys {
-			r.before = func() {
-				synctest.Wait() // whatever a has set off by now has happened
-				decideAll(t, testLedger(s, "b"), other[i:i+1], 24)
+			r.beforeHeadWrite = func() {
+				synctest.Wait() // wait for the background work of a
+				requireDecided(t, testLedger(s, "b"), other[i:i+1], 24)
 				won = append(won, other[i])
 			}
-			decideAll(t, a, []Key{k}, 24)
+			requireDecided(t, a, []Key{k}, 24)
 		}
 		a.Wait()
 		require.NotEmpty(t, won)
@@ -178,11 +183,12 @@
 	})
 }
 
-// Two VMs whose clocks differ seal one head version: what one leaves out as
-// expired or merges differently must not become the other's segment.
+// Guards against two VMs that overwrite each other's segments. Their clocks differ, so that for
+// one head version they omit different expired entries or merge different segments; the names
+// must then differ too.
 func TestSealsOfOneVersionDiffer(t *testing.T) {
 	s := newState()
-	s.version, s.size = 7, 100
+	s.version, s.headSize = 7, 100
 	s.head[Key{1}] = Entry{Key: Key{1}, Expire: 10}
 	early, err := s.planSeal(0, 10)
 	require.NoError(t, err)
@@ -190,42 +196,42 @@
 	require.NoError(t, err)
 	require.NotEqual(t, early.value, late.value)
 	require.NotEqual(t, early.name, late.name)
-	for range mergeRun {
+	for range mergeFactor {
 		s.segments = append(s.segments, segmentRef{Size: 100, Expire: 20})
 	}
 	merged, err := s.planSeal(0, 10)
 	require.NoError(t, err)
 	require.Zero(t, merged.from)
-	s.segments = s.segments[:mergeRun-2]
+	s.segments = s.segments[:mergeFactor-2]
 	unmerged, err := s.planSeal(0, 10)
 	require.NoError(t, err)
 	require.NotEqual(t, merged.name, unmerged.name)
 }
 
-// The platform loses a head. Its keys can't be known any more: the shard
-// refuses rather than decide them again.
+// The platform loses a head. The shard's keys can't be known any more, so it refuses operations
+// instead of deciding them again.
 func TestLostHeadRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		a := testLedger(s, "a")
 		keys := keysOfShard(3, 2)
-		decideAll(t, a, keys[:1], 24)
-		o, err := s.Get(t.Context(), durable.Key{Kind: kind, Name: headName(3)})
+		requireDecided(t, a, keys[:1], 24)
+		o, err := s.Get(t.Context(), durable.Key{Kind: objectKind, Name: headName(3)})
 		require.NoError(t, err)
 		require.NoError(t, s.Delete(t.Context(), o.Key, o.Version))
 		_, _, err = a.Decide(t.Context(), keys[1], []byte("v"), 24)
 		require.ErrorIs(t, err, ErrUnavailable)
-		require.Zero(t, a.RetryAfter(), "other shards go on")
+		require.Zero(t, a.RetryAfter(), "other shards are refused too")
 		a.Wait()
 	})
 }
 
-// Trim frees idle shards, but not one whose last write is in doubt.
+// Trim frees idle shards, except one whose last write is unsettled.
 func TestTrim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		a := testLedger(s, "a")
-		decideAll(t, a, keysOfShard(3, 1), 24)
+		requireDecided(t, a, keysOfShard(3, 1), 24)
 		s.SetFaults(store.Faults{Delay: time.Millisecond, RefuseWrites: 100})
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Millisecond)
 		defer cancel()
@@ -239,20 +245,20 @@
 	})
 }
 
-// Another VM sweeps between a seal and its head's write: the segment that no
-// head names yet must stay.
+// Guards against a Sweep that deletes a segment in use. Another VM sweeps between the writes of
+// a segment and of the head that refers to it.
 func TestSweepDuringSeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		r := &racingStore{Store: s}
-		a := sealing(r, "a")
+		a := newSealingLedger(r, "a")
 		keys := keysOfShard(3, 30)
 		for _, k := range keys {
-			r.before = func() {
+			r.beforeHeadWrite = func() {
 				_, err := testLedger(s, "b").Sweep(t.Context())
 				require.NoError(t, err)
 			}
-			decideAll(t, a, []Key{k}, 24)
+			requireDecided(t, a, []Key{k}, 24)
 		}
 		a.Wait()
 		for _, k := range keys {
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -12,29 +12,29 @@
 	"goldcrestfork/durable"
 )
 
-// Sweep deletes the segments that no head names and none ever will, and gives
-// their number. Such garbage is left by a VM that dies between a seal and its
-// head's write, and by a deletion that failed. Any VM may sweep at any time:
-// a segment is named after the head version that it seals, and only a write at
-// that version can name it, so once the head is at another the segment is dead.
+// Sweep deletes the segments that no head refers to or will refer to, and returns their number.
+// A VM that crashes between writing a segment and the head leaves such a segment behind, and so
+// does a failed deletion. Any VM may sweep at any time: the name of a segment contains the head
+// version that it seals, and only a write at that version can refer to it, so it is garbage
+// once the head has another version.
 func (l *Ledger) Sweep(ctx context.Context) (int, error) {
-	listing, err := l.store.List(ctx, kind)
+	listing, err := l.store.List(ctx, objectKind)
 	if err != nil {
 		return 0, err
 	}
-	versions, named, err := headsIn(listing.Objects)
+	versions, named, err := collectHeads(listing.Objects)
 	if err != nil {
 		return 0, err
 	}
 	swept := 0
 	for _, o := range listing.Objects {
-		shard, sealed, ok := parseSegment(o.Name)
+		shard, sealed, ok := parseSegmentName(o.Name)
 		if !ok || named[o.Name] || versions[shard] <= sealed {
 			continue
 		}
 		err := l.store.Delete(ctx, o.Key, o.Version)
 		if errors.Is(err, durable.ErrNotFound) {
-			continue // another VM was first
+			continue // another VM has deleted it
 		}
 		if err != nil {
 			return swept, err
@@ -44,9 +44,9 @@
 	return swept, nil
 }
 
-// headsIn gives the version of each shard's head and the segments in use. The
-// list is consistent, so that a head's newest segment is in it.
-func headsIn(objects []durable.Object) (versions map[string]int64, named map[string]bool, err error) {
+// collectHeads returns the version of each shard's head, and the names of the segments in use.
+// The listing is consistent, so it contains the newest segment of each head.
+func collectHeads(objects []durable.Object) (versions map[string]int64, named map[string]bool, err error) {
 	versions, named = map[string]int64{}, map[string]bool{}
 	for _, o := range objects {
 		if strings.Contains(o.Name, ".") {
@@ -75,8 +75,8 @@
 	return versions, named, nil
 }
 
-// parseSegment reads a segment's shard and the head version that it seals.
-func parseSegment(name string) (shard string, sealed int64, ok bool) {
+// parseSegmentName returns the shard in a segment's name and the head version that it seals.
+func parseSegmentName(name string) (shard string, sealed int64, ok bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) < 2 {
 		return "", 0, false
