--- a/ledger/pin/pin.go
+++ b/ledger/pin/pin.go
@@ -1,7 +1,7 @@
-// Package pin keeps a session on its version. The first answer fixes the
-// version: in a token that the caller carries, in a ledger record for callers
-// that send a session's ID alone, and, while the store is down, by a function of
-// the session and the roll-out that gives every VM the same.
+// Package pin keeps a session on one model version. The first answer fixes the version: in a
+// token that the caller sends along, in a ledger record for callers that only send the
+// session's ID, and, while the ledger is unavailable, by a hash of the session and the
+// roll-out's weights that is the same on every VM.
 package pin
 
 import (
@@ -11,62 +11,64 @@
 	"goldcrestfork/ledger"
 )
 
-// RecordHours is how long a session's record lives after its last use, in hours.
-const RecordHours = 24
+// RecordRetentionHours is the retention of a session's record after its last use, in hours.
+const RecordRetentionHours = 24
 
-// Source tells where a session's version comes from.
+// Source is the origin of a session's version.
 type Source string
 
-// Sources of a pin, best first.
+// Sources of a pin, in the order of preference.
 const (
-	SourceToken  Source = "token"  // carried by the caller
+	SourceToken  Source = "token"  // sent by the caller
 	SourceRecord Source = "record" // decided in the ledger
-	SourceHash   Source = "hash"   // the ledger can't be reached
+	SourceHash   Source = "hash"   // computed because the ledger can't be reached
 )
 
-// Decider is the ledger as pins use it.
+// Decider is the part of a ledger that pins use; see ledger.Ledger.Decide.
 type Decider interface {
 	Decide(ctx context.Context, key ledger.Key, value []byte, hours uint32) (winner []byte, mine bool, err error)
 }
 
-// Session names a session within a client account.
+// Session identifies a session within a client account.
 type Session struct {
 	Account string
 	ID      string
 }
 
-// Pin is a session's version.
+// Pin is a session's version and its origin.
 type Pin struct {
 	Version string
 	Source  Source
-	// Moved is the version that the session had to leave, since it may not be used any more.
+	// Moved is the version that the session had to leave because it is not usable any more;
+	// empty if the session did not move.
 	Moved string
-	// Token is for the caller to send along with the session's next request.
+	// Token is a new token, which the caller sends with the session's next request.
 	Token string
 }
 
-// Pins gives sessions their versions.
+// Pins assigns versions to sessions.
 type Pins struct {
 	ledger Decider
 	signer *Signer
 }
 
-// New returns the pins kept in a ledger, with tokens of signer.
+// New returns Pins that keep records in a ledger and use tokens of signer.
 func New(l Decider, signer *Signer) *Pins { return &Pins{ledger: l, signer: signer} }
 
-// Version gives a session's version. shares are the roll-out's as configured,
-// of versions that the session's account may use; usable says whether a version
-// that was pinned earlier still is. now is the wall clock, for the token's life.
+// Version returns a session's version. shares are the roll-out's configured weights, for the
+// versions that the session's account may use. usable reports whether a pinned version may
+// still be used. now is the wall-clock time, for the token's lifetime. The only error is
+// ErrNoVersion.
 //
-// A pin whose version is not usable any more gives way, and Moved says so. The
-// next version is decided under a key that names the one left, so that all VMs
-// agree on it too. When the version left becomes usable again, a session without
-// a token goes back to it.
+// If a pinned version is not usable any more, the session moves to another and Moved holds the
+// version that it left. The next version is decided under a key that contains the version left,
+// so that all VMs agree on it. If the version left becomes usable again, a session without a
+// token returns to it.
 func (p *Pins) Version(ctx context.Context, s Session, token string, shares []Share, usable func(string) bool, now time.Time) (Pin, error) {
 	var moved string
 	if version, err := p.signer.Verify(s, token, now); err == nil {
 		if usable(version) {
-			return p.signed(s, Pin{Version: version, Source: SourceToken}, now), nil
+			return p.withToken(s, Pin{Version: version, Source: SourceToken}, now), nil
 		}
 		moved = version
 	}
@@ -75,13 +77,13 @@
 		return Pin{}, ErrNoVersion
 	}
 	out := p.decide(ctx, s, moved, choice, usable)
-	return p.signed(s, out, now), nil
+	return p.withToken(s, out, now), nil
 }
 
-// decide follows the records from the version left, if any, to one that is usable.
+// decide follows the records from the version that the session left, if any, to a usable one.
 func (p *Pins) decide(ctx context.Context, s Session, moved, choice string, usable func(string) bool) Pin {
 	for range maxMoves {
-		won, _, err := p.ledger.Decide(ctx, recordKey(s, moved), []byte(choice), RecordHours)
+		won, _, err := p.ledger.Decide(ctx, recordKey(s, moved), []byte(choice), RecordRetentionHours)
 		if err != nil {
 			return Pin{Version: choice, Source: SourceHash, Moved: moved}
 		}
@@ -93,15 +95,15 @@
 	return Pin{Version: choice, Source: SourceHash, Moved: moved}
 }
 
-// maxMoves bounds the records followed. Grounds: more versions withdrawn than
-// are in use at the size designed for (19) within a session's life.
+// maxMoves is the maximum number of records that decide follows. It is only reached if more
+// versions than the 19 in use at the intended size are withdrawn within a session's lifetime.
 const maxMoves = 20
 
 func recordKey(s Session, left string) ledger.Key {
 	return ledger.MakeKey(ledger.SpacePin, s.Account, s.ID, left)
 }
 
-func (p *Pins) signed(s Session, out Pin, now time.Time) Pin {
+func (p *Pins) withToken(s Session, out Pin, now time.Time) Pin {
 	out.Token = p.signer.Sign(s, out.Version, now)
 	return out
 }
--- a/ledger/pin/pin_test.go
+++ b/ledger/pin/pin_test.go
@@ -17,11 +17,11 @@
 var (
 	session = Session{Account: "norte", ID: "s1"}
 	now     = time.Unix(1_800_000_000, 0)
-	keyA    = bytes.Repeat([]byte("a"), minKey)
-	keyB    = bytes.Repeat([]byte("b"), minKey)
+	keyA    = bytes.Repeat([]byte("a"), minKeySize)
+	keyB    = bytes.Repeat([]byte("b"), minKeySize)
 )
 
-func any1(string) bool { return true }
+func anyVersion(string) bool { return true }
 
 func newSigner(t *testing.T, keys ...[]byte) *Signer {
 	s, err := NewSigner(0, keys...)
@@ -37,8 +37,8 @@
 func TestTokens(t *testing.T) {
 	signer := newSigner(t, keyA)
 	token := signer.Sign(session, "v1", now)
-	bent := []byte(token)
-	bent[len(bent)-3] ^= 1
+	tampered := []byte(token)
+	tampered[len(tampered)-3] ^= 1
 	for name, c := range map[string]struct {
 		signer  *Signer
 		session Session
@@ -46,18 +46,18 @@
 		now     time.Time
 		want    error
 	}{
-		"good":                {signer, session, token, now, nil},
-		"at the end":          {signer, session, token, now.Add(DefaultLife), nil},
-		"expired":             {signer, session, token, now.Add(DefaultLife + time.Second), ErrExpired},
-		"other session":       {signer, Session{"norte", "s2"}, token, now, ErrToken},
-		"other account":       {signer, Session{"cluj", "s1"}, token, now, ErrToken},
-		"moved boundary":      {signer, Session{"nortes", "1"}, token, now, ErrToken},
-		"other key":           {newSigner(t, keyB), session, token, now, ErrToken},
-		"old key still taken": {newSigner(t, keyB, keyA), session, token, now, nil},
-		"bent":                {signer, session, string(bent), now, ErrToken},
-		"empty":               {signer, session, "", now, ErrToken},
-		"no signature":        {signer, session, "p1.AAAA", now, ErrToken},
-		"other form":          {signer, session, "p2" + token[2:], now, ErrToken},
+		"valid":         {signer, session, token, now, nil},
+		"at the expiry": {signer, session, token, now.Add(DefaultTokenLifetime), nil},
+		"expired":       {signer, session, token, now.Add(DefaultTokenLifetime + time.Second), ErrExpired},
+		"other session": {signer, Session{"norte", "s2"}, token, now, ErrInvalidToken},
+		"other account": {signer, Session{"cluj", "s1"}, token, now, ErrInvalidToken},
+		"shifted boundary between account and ID": {signer, Session{"nortes", "1"}, token, now, ErrInvalidToken},
+		"other key":          {newSigner(t, keyB), session, token, now, ErrInvalidToken},
+		"old key accepted":   {newSigner(t, keyB, keyA), session, token, now, nil},
+		"tampered signature": {signer, session, string(tampered), now, ErrInvalidToken},
+		"empty":              {signer, session, "", now, ErrInvalidToken},
+		"no signature":       {signer, session, "p1.AAAA", now, ErrInvalidToken},
+		"other prefix":       {signer, session, "p2" + token[2:], now, ErrInvalidToken},
 	} {
 		version, err := c.signer.Verify(c.session, c.token, c.now)
 		require.ErrorIs(t, err, c.want, name)
@@ -66,11 +66,12 @@
 		}
 	}
 	_, err := NewSigner(0, []byte("short"))
-	require.ErrorIs(t, err, ErrKey)
+	require.ErrorIs(t, err, ErrKeyTooShort)
 }
 
-// Weights decide how many sessions a version gets, and a step of the roll-out
-// moves only those that it must.
+// Guards against sessions that change their version needlessly. Each version gets sessions
+// according to its weight, and a step of the roll-out moves only as many as the weights
+// require.
 func TestChooseFollowsWeights(t *testing.T) {
 	const sessions = 20_000
 	count := map[string]int{}
@@ -82,7 +83,7 @@
 		count[before]++
 		if before != after {
 			moved++
-			require.Equal(t, "v2", after, "nobody goes back")
+			require.Equal(t, "v2", after, "a session moved back to the old version")
 		}
 	}
 	require.Zero(t, count["v3"])
@@ -92,9 +93,10 @@
 	require.False(t, ok)
 }
 
-// A caller meets VM after VM, while the roll-out steps on, the store fails and
-// its version is withdrawn. It must keep its version through all but the last,
-// and then move once, told so, to the same version everywhere.
+// Guards against a session that changes its version without need. A caller's requests reach one
+// VM after another while the roll-out advances, the store fails and the session's version is
+// withdrawn. Only the withdrawal may move the session: once, to the same version on every VM,
+// and reported in Moved.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	s := store.New()
 	ctx := t.Context()
@@ -105,16 +107,16 @@
 		require.NoError(t, err)
 		return p
 	}
-	first := at("a", "", old, any1)
+	first := at("a", "", old, anyVersion)
 	require.Equal(t, Pin{Version: "v1", Source: SourceRecord, Token: first.Token}, first)
-	require.Equal(t, "v1", at("b", "", stepped, any1).Version, "by the record")
+	require.Equal(t, "v1", at("b", "", stepped, anyVersion).Version, "the ledger record keeps the version")
 	s.SetFaults(store.Faults{Down: true})
-	byToken := at("c", first.Token, stepped, any1)
+	byToken := at("c", first.Token, stepped, anyVersion)
 	require.Equal(t, "v1", byToken.Version)
 	require.Equal(t, SourceToken, byToken.Source)
-	hashed := at("c", "", stepped, any1)
+	hashed := at("c", "", stepped, anyVersion)
 	require.Equal(t, SourceHash, hashed.Source)
-	require.Equal(t, hashed.Version, at("d", "", stepped, any1).Version, "VMs agree in the outage")
+	require.Equal(t, hashed.Version, at("d", "", stepped, anyVersion).Version, "VMs disagree in the outage")
 	s.SetFaults(store.Faults{})
 
 	notV1 := func(v string) bool { return v != "v1" }
@@ -124,20 +126,20 @@
 		require.Equal(t, "v1", p.Moved)
 	}
 	third := []Share{{"v3", 1}}
-	require.Equal(t, "v2", at("g", "", third, notV1).Version, "the move is kept too")
-	_, err := newPins(t, s, "a").Version(ctx, Session{"norte", "s2"}, "", nil, any1, now)
+	require.Equal(t, "v2", at("g", "", third, notV1).Version, "the version after the move is not kept")
+	_, err := newPins(t, s, "a").Version(ctx, Session{"norte", "s2"}, "", nil, anyVersion, now)
 	require.ErrorIs(t, err, ErrNoVersion)
 }
 
-// stuck is a ledger in which no version ever suits.
-type stuck struct{}
+// echoDecider is a ledger that accepts each proposed version.
+type echoDecider struct{}
 
-func (stuck) Decide(_ context.Context, _ ledger.Key, value []byte, _ uint32) ([]byte, bool, error) {
+func (echoDecider) Decide(_ context.Context, _ ledger.Key, value []byte, _ uint32) ([]byte, bool, error) {
 	return value, true, nil
 }
 
 func TestMovesAreBounded(t *testing.T) {
-	p, err := New(stuck{}, newSigner(t, keyA)).Version(t.Context(), session, "",
+	p, err := New(echoDecider{}, newSigner(t, keyA)).Version(t.Context(), session, "",
 		[]Share{{"v1", 1}}, func(string) bool { return false }, now)
 	require.NoError(t, err)
 	require.Equal(t, SourceHash, p.Source)
--- a/ledger/pin/share.go
+++ b/ledger/pin/share.go
@@ -6,42 +6,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is a version's part of a roll-out.
+// Share is a version's weight in a roll-out.
 type Share struct {
 	Version string
-	// Weight is relative to the others'; zero takes no session.
+	// Weight is relative to the weights of the other versions; a version with zero gets no new
+	// session.
 	Weight float64
 }
 
-// Choose gives the version that a new session takes, and false when none has a
-// weight. It depends on its arguments alone, so that VMs at one configuration
-// revision agree without a word. It is weighted rendezvous hashing: when a
-// weight changes, only as many sessions change their version as the weights ask.
+// Choose returns the version for a new session, and false if no version has a weight. The
+// result depends only on the arguments, so that VMs with the same configuration revision agree
+// without communication. The method is weighted rendezvous hashing: after a change of weights
+// only as many sessions change their version as the weights require.
 //
-// Load pattern: many new sessions while the store is down. Without it each VM
-// would choose for itself, and a session would meet another version at each VM.
+// Load pattern: many new sessions while the store is down. Without it each VM would choose by
+// itself, and a session would get another version on each VM.
 func Choose(s Session, shares []Share) (string, bool) {
 	best, found := "", false
-	lead := math.Inf(-1)
+	bestScore := math.Inf(-1)
 	for _, share := range shares {
 		if share.Weight <= 0 {
 			continue
 		}
 		score := share.Weight / -math.Log(uniform(s, share.Version))
-		if score > lead || score == lead && share.Version < best {
-			best, lead, found = share.Version, score, true
+		if score > bestScore || score == bestScore && share.Version < best {
+			best, bestScore, found = share.Version, score, true
 		}
 	}
 	return best, found
 }
 
-// uniform hashes a session and a version into (0, 1).
+// uniform returns a hash of a session and a version in (0, 1).
 func uniform(s Session, version string) float64 {
 	h := xxhash.New()
 	for _, part := range []string{s.Account, s.ID, version} {
 		_, _ = h.WriteString(part)
 		_, _ = h.Write([]byte{0})
 	}
-	const bits = 53 // what a float64 holds exactly
+	const bits = 53 // the precision of a float64
 	return (float64(h.Sum64()>>(64-bits)) + 0.5) / (1 << bits)
 }
--- a/ledger/pin/token.go
+++ b/ledger/pin/token.go
@@ -10,79 +10,82 @@
 	"time"
 )
 
-// Errors of pins.
+// Errors of package pin.
 var (
-	// ErrToken: the token is malformed, of another session or not signed by us.
-	ErrToken = errors.New("pin token not valid")
-	// ErrExpired: the token was ours and is too old.
+	// ErrInvalidToken reports that the token is malformed, belongs to another session or has no
+	// valid signature.
+	ErrInvalidToken = errors.New("pin token not valid")
+	// ErrExpired reports that the token's signature is valid, but its lifetime is over.
 	ErrExpired = errors.New("pin token expired")
-	// ErrNoVersion: the roll-out gives no version a share.
+	// ErrNoVersion reports that no version of the roll-out has a weight.
 	ErrNoVersion = errors.New("no version to pin to")
-	// ErrKey: a signing key is too short.
-	ErrKey = errors.New("pin key shorter than 32 bytes")
+	// ErrKeyTooShort reports that a signing key is missing or too short.
+	ErrKeyTooShort = errors.New("pin key shorter than 32 bytes")
 )
 
 const (
-	// DefaultLife of a token; each answer brings a new one.
-	DefaultLife = 24 * time.Hour
-	// minKey is the HMAC key's least length in bytes: SHA-256's own size.
-	minKey = sha256.Size
-	// macSize of a token in bytes: 128 bits, which nobody guesses online.
-	macSize   = 16
-	tokenForm = "p1."
+	// DefaultTokenLifetime is the lifetime of a token; each answer carries a new one.
+	DefaultTokenLifetime = 24 * time.Hour
+	// minKeySize is the minimum length of an HMAC key in bytes, the digest size of SHA-256.
+	minKeySize = sha256.Size
+	// macSize is the length of a token's signature in bytes; 128 bits can't be guessed by online
+	// attempts.
+	macSize     = 16
+	tokenPrefix = "p1."
 )
 
 var encoding = base64.RawURLEncoding
 
-// Signer makes and checks pin tokens. It is safe for concurrent use.
+// Signer creates and verifies pin tokens. It is safe for concurrent use.
 type Signer struct {
-	keys [][]byte
-	life time.Duration
+	keys          [][]byte
+	tokenLifetime time.Duration
 }
 
-// NewSigner signs with the first key and accepts all, so that keys can be
-// replaced without a moment at which some VM refuses another's tokens: first
-// add the new key last everywhere, then put it first, then drop the old.
-// life 0 takes DefaultLife.
+// NewSigner returns a Signer that signs with the first key and accepts all keys. Keys can thus
+// be replaced without a VM refusing another's tokens: the new key is first added in last place
+// on every VM, then put first, and then the old one is removed. life is the lifetime of a
+// token; 0 means DefaultTokenLifetime. The error is ErrKeyTooShort.
 func NewSigner(life time.Duration, keys ...[]byte) (*Signer, error) {
 	if len(keys) == 0 {
-		return nil, ErrKey
+		return nil, ErrKeyTooShort
 	}
 	for _, k := range keys {
-		if len(k) < minKey {
-			return nil, ErrKey
+		if len(k) < minKeySize {
+			return nil, ErrKeyTooShort
 		}
 	}
 	if life == 0 {
-		life = DefaultLife
+		life = DefaultTokenLifetime
 	}
-	return &Signer{keys: keys, life: life}, nil
+	return &Signer{keys: keys, tokenLifetime: life}, nil
 }
 
-// Sign gives a token that pins a session to a version. It shows the version and
-// its expiry in the clear; the session is only in the signature.
+// Sign returns a token that pins a session to a version. The token contains the version and its
+// expiry in plain text; the session only goes into the signature.
 func (s *Signer) Sign(session Session, version string, now time.Time) string {
-	payload := binary.BigEndian.AppendUint64(nil, uint64(now.Add(s.life).Unix()))
+	payload := binary.BigEndian.AppendUint64(nil, uint64(now.Add(s.tokenLifetime).Unix()))
 	payload = append(payload, version...)
 	mac := sign(s.keys[0], session, payload)
-	return tokenForm + encoding.EncodeToString(payload) + "." + encoding.EncodeToString(mac)
+	return tokenPrefix + encoding.EncodeToString(payload) + "." + encoding.EncodeToString(mac)
 }
 
-// Verify gives the version that a token pins the session to. now is compared
-// with another VM's clock, so a token's life is true to their difference.
+// Verify returns the version that a token pins the session to; its errors are ErrInvalidToken
+// and ErrExpired. now is compared with the clock of the VM that signed the token, so the
+// lifetime is only as exact as the clocks agree.
 func (s *Signer) Verify(session Session, token string, now time.Time) (string, error) {
-	rest, ok := strings.CutPrefix(token, tokenForm)
+	rest, ok := strings.CutPrefix(token, tokenPrefix)
 	if !ok {
-		return "", ErrToken
+		return "", ErrInvalidToken
 	}
 	text, sum, ok := strings.Cut(rest, ".")
 	if !ok {
-		return "", ErrToken
+		return "", ErrInvalidToken
 	}
 	payload, err1 := encoding.DecodeString(text)
 	mac, err2 := encoding.DecodeString(sum)
-	if err1 != nil || err2 != nil || len(payload) < 8 || !s.signed(session, payload, mac) {
-		return "", ErrToken
+	if err1 != nil || err2 != nil || len(payload) < 8 || !s.validMAC(session, payload, mac) {
+		return "", ErrInvalidToken
 	}
 	if expires := int64(binary.BigEndian.Uint64(payload)); now.Unix() > expires {
 		return "", ErrExpired
@@ -90,8 +93,9 @@
 	return string(payload[8:]), nil
 }
 
-// signed compares in constant time with every key.
-func (s *Signer) signed(session Session, payload, mac []byte) bool {
+// validMAC reports whether a signature matches one of the keys. It compares with every key, in
+// constant time.
+func (s *Signer) validMAC(session Session, payload, mac []byte) bool {
 	ok := false
 	for _, k := range s.keys {
 		ok = hmac.Equal(sign(k, session, payload), mac) || ok
