--- a/ledger/bill/bill.go
+++ b/ledger/bill/bill.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Bill is what one request cost.
+// Bill is the usage and the cost of one request.
 type Bill struct {
-	// Account is the client account, Request the request's ID within it; together
-	// they are the bill's identity, whatever VM or attempt writes it.
+	// Account is the client account and Request the request's ID within it. Together they
+	// identify the bill, whichever VM or attempt writes it.
 	Account string `cbor:"1,keyasint"`
 	Request string `cbor:"2,keyasint"`
-	// Accepted is when the request was first accepted; every VM that may bill the
-	// request must give the same minute.
+	// Accepted is the time at which the request was first accepted. All VMs that may bill the
+	// request must use the same minute.
 	Accepted time.Time `cbor:"3,keyasint"`
 	// Version is the model version that answered.
 	Version string `cbor:"4,keyasint"`
-	// InputTokens and OutputTokens are those of the whole request, all attempts together.
+	// InputTokens and OutputTokens are the totals of all attempts of the request.
 	InputTokens  int64 `cbor:"5,keyasint,omitempty"`
 	OutputTokens int64 `cbor:"6,keyasint,omitempty"`
 	// Micros is the cost in millionths of the account's currency.
 	Micros int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Row sums the bills of one account and version.
+// Row is the sum of the bills of one account and model version.
 type Row struct {
 	Account      string `cbor:"1,keyasint"`
 	Version      string `cbor:"2,keyasint"`
@@ -33,37 +33,39 @@
 	Micros       int64  `cbor:"6,keyasint"`
 }
 
-// Sums is what a minute or a day cost.
+// Sums are the sums of the bills of a minute or a day.
 type Sums struct {
-	Rows []Row `cbor:"1,keyasint"` // by account and version
-	// Duplicates is the number of bills left out because their request was billed already.
+	Rows []Row `cbor:"1,keyasint"` // sorted by account and version
+	// Duplicates is the number of bills that were left out because their request had been billed
+	// already.
 	Duplicates int64 `cbor:"2,keyasint"`
 }
 
 const day = 24 * time.Hour
 
-// minuteKind is the kind of the batches of bills accepted in a minute.
+// minuteKind returns the platform's kind of the batches with bills that were accepted in t's
+// minute.
 func minuteKind(t time.Time) string { return "bills-" + t.UTC().Format("200601021504") }
 
-// sumsKind is the kind of a day's sums; their names are the minutes.
+// sumsKind returns the platform's kind of a day's sums; the objects' names are the minutes.
 func sumsKind(t time.Time) string { return "billsums-" + t.UTC().Format("20060102") }
 
 func sumsName(t time.Time) string { return t.UTC().Format("1504") }
 
-// FlushInterval gives how often each of vms VMs should write its bills.
-// Batches cost about two writes a flush (requests of two minutes end together);
-// at 50 writes/s for bills, a sixth of what the ledger takes, that is vms/25
-// seconds, and at least five, which bounds what a crash loses.
+// FlushInterval returns the interval at which each of vms VMs should write its bills. A flush
+// takes about two writes, since its requests usually come from two minutes. With 50 writes/s
+// for bills, a sixth of the ledger's rate, the interval is vms/25 seconds. It is at least five
+// seconds; a crash loses the bills of up to one interval.
 func FlushInterval(vms int) time.Duration {
-	return max(minFlush, time.Duration(vms)*flushPerVM)
+	return max(minFlushInterval, time.Duration(vms)*flushIntervalPerVM)
 }
 
 const (
-	minFlush   = 5 * time.Second
-	flushPerVM = 40 * time.Millisecond
+	minFlushInterval   = 5 * time.Second
+	flushIntervalPerVM = 40 * time.Millisecond
 )
 
-// batch is one object to be written: its name says whose it is.
+// batch is one object to be written. Its name identifies the VM, the incarnation and the batch.
 type batch struct {
 	Minute time.Time `cbor:"1,keyasint"`
 	Name   string    `cbor:"2,keyasint"`
--- a/ledger/bill/bill_test.go
+++ b/ledger/bill/bill_test.go
@@ -25,7 +25,7 @@
 	return NewSpool(s, nil, Settings{VM: vm, Incarnation: 1})
 }
 
-// requireRequests sums the day up and checks how many requests were billed.
+// requireRequests sums up the day and checks the number of requests that were billed.
 func requireRequests(t *testing.T, s durable.Store, at time.Time, want int64) Sums {
 	t.Helper()
 	sums, err := NewReader(s).Day(t.Context(), at)
@@ -36,8 +36,9 @@
 	return sums
 }
 
-// The caller is billed once whatever becomes of a batch's write: refused, its
-// reply lost before or after the effect, or the effect coming after the retry.
+// Guards against requests that are billed twice or not at all because a batch's write was
+// refused, its reply was lost before or after the effect, or it took effect only after the
+// retry.
 func TestBilledOnceThroughFaults(t *testing.T) {
 	for name, fault := range map[string]store.Faults{
 		"none":                    {},
@@ -66,7 +67,7 @@
 	}
 }
 
-// A stream is resumed at another VM, and both bill its request: one counts.
+// A stream is resumed on another VM and both VMs bill its request: only one bill counts.
 func TestTwoVMsBillOneRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -79,12 +80,12 @@
 		require.EqualValues(t, 1, requireRequests(t, s, now, 1).Duplicates)
 		time.Sleep(time.Hour)
 		requireRequests(t, s, now, 1)
-		requireRequests(t, s, now, 1) // from the fold
+		requireRequests(t, s, now, 1) // from the stored sums
 	})
 }
 
-// A VM stops while a write of its own is under way: the peer that takes the
-// spool over writes the same batches, and the late write changes nothing.
+// A VM stops while its write of a batch is delayed. The peer that takes over the spool writes
+// the same batches, and the late write changes nothing.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -106,9 +107,9 @@
 	})
 }
 
-// A spool that is full says so; the loss is counted, not hidden.
+// A full spool reports that a bill is lost and counts the loss.
 func TestSpoolIsBounded(t *testing.T) {
-	spool := NewSpool(store.New(), nil, Settings{Kept: 2})
+	spool := NewSpool(store.New(), nil, Settings{MaxBills: 2})
 	require.True(t, spool.Add(testBill(1, time.Now())))
 	require.True(t, spool.Add(testBill(2, time.Now())))
 	require.False(t, spool.Add(testBill(3, time.Now())))
@@ -116,14 +117,15 @@
 	require.Equal(t, 2, spool.Held())
 }
 
-// foldRace lets a late batch be written between a reader's steps.
-type foldRace struct {
+// aggregationRace runs functions before and after the first listing of a minute's batches, to
+// write a late batch between a reader's steps.
+type aggregationRace struct {
 	*store.Store
 	beforeList func()
 	afterList  func()
 }
 
-func (f *foldRace) List(ctx context.Context, kind string) (durable.Listing, error) {
+func (f *aggregationRace) List(ctx context.Context, kind string) (durable.Listing, error) {
 	before, after := f.beforeList, f.afterList
 	if kind != minuteKind(time.Now()) && len(kind) == len(minuteKind(time.Now())) {
 		f.beforeList, f.afterList = nil, nil
@@ -138,10 +140,11 @@
 	return l, err
 }
 
-// An outage held a batch back for an hour, and its minute is summed up at the
-// moment when it arrives. The next reader must count it, whichever comes first.
-func TestLateBatchMeetsFold(t *testing.T) {
-	for _, moment := range []string{"before the fold", "before the list", "after the list", "after the fold"} {
+// Guards against a late batch that is not counted. An outage delayed the batch for an hour, and
+// its minute is summed up while the batch is written. The next reader must count it, whichever
+// comes first.
+func TestLateBatchDuringAggregation(t *testing.T) {
+	for _, moment := range []string{"before the aggregation", "before the list", "after the list", "after the aggregation"} {
 		t.Run(moment, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New()
@@ -152,9 +155,9 @@
 				late.Add(testBill(2, accepted))
 				time.Sleep(time.Hour)
 				arrive := func() { require.NoError(t, late.Flush(t.Context())) }
-				race := &foldRace{Store: s}
+				race := &aggregationRace{Store: s}
 				switch moment {
-				case "before the fold":
+				case "before the aggregation":
 					arrive()
 				case "before the list":
 					race.beforeList = arrive
@@ -163,7 +166,7 @@
 				}
 				_, err := NewReader(race).Day(t.Context(), accepted)
 				require.NoError(t, err)
-				if moment == "after the fold" {
+				if moment == "after the aggregation" {
 					arrive()
 				}
 				requireRequests(t, s, accepted, 2)
@@ -172,8 +175,9 @@
 	}
 }
 
-// Sums outlive their batches; a batch that comes after the purge is refused,
-// since it would bring down sums that can't be made again.
+// Guards against sums that shrink after a purge. Sums remain when their batches are purged; a
+// batch that arrives after the purge is dropped, because it would delete sums that can't be
+// computed again.
 func TestPurge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -184,7 +188,7 @@
 		require.NoError(t, spool.Flush(t.Context()))
 		time.Sleep(time.Hour)
 		requireRequests(t, s, accepted, 1)
-		require.ErrorIs(t, NewReader(s).Purge(t.Context(), accepted), ErrTooYoung)
+		require.ErrorIs(t, NewReader(s).Purge(t.Context(), accepted), ErrDayIncomplete)
 		time.Sleep(96 * time.Hour)
 		require.NoError(t, NewReader(s).Purge(t.Context(), accepted))
 		require.NoError(t, late.Flush(t.Context()))
@@ -201,9 +205,9 @@
 	require.Equal(t, 16*time.Second, FlushInterval(400))
 }
 
-// BenchmarkBill is one bill from Add to the store and into a minute's sums.
+// BenchmarkBill measures the way of one bill from Add to the store and into a minute's sums.
 func BenchmarkBill(b *testing.B) {
-	const bills = 450 // what a VM flushes at 30 bills/s each 15 s
+	const bills = 450 // the bills of one flush at 30 bills/s and an interval of 15 s
 	now := time.Now().Truncate(time.Minute)
 	var bytes int64
 	for b.Loop() {
@@ -218,7 +222,7 @@
 			b.Fatal(err)
 		}
 		bytes = s.Counts().PutBytes
-		if _, err := NewReader(s).raw(b.Context(), now); err != nil {
+		if _, err := NewReader(s).sumBatches(b.Context(), now); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/ledger/bill/doc.go
+++ b/ledger/bill/doc.go
@@ -1,10 +1,10 @@
-// Package bill keeps one record for each request in the platform's object API.
+// Package bill keeps one billing record for each request in the platform's object API.
 //
-// A Spool gathers bills in memory and writes them as immutable batches, whose
-// names no other spool uses: writing one twice is writing it once. Bills are
-// grouped by the minute in which their request was accepted, which travels with
-// the request, so that two VMs which bill one request (a stream resumed
-// elsewhere) do so within one minute, where a Reader finds the second.
+// A Spool collects bills in memory and writes them as immutable batches. No other spool uses a
+// batch's name, so writing a batch twice has the effect of writing it once. Bills are grouped
+// by the minute in which their request was accepted. This time travels with the request, so two
+// VMs that bill the same request, such as a stream resumed on another VM, write to the same
+// minute, where a Reader detects the duplicate.
 //
 // Lock order: Spool.sending, then Spool.mu.
 package bill
--- a/ledger/bill/reader.go
+++ b/ledger/bill/reader.go
@@ -13,17 +13,18 @@
 	"goldcrestfork/durable"
 )
 
-// clockSlack is how far another VM's clock may be ahead of the reader's.
+// clockSlack is by how much another VM's clock may be ahead of the reader's.
 const clockSlack = 2 * time.Minute
 
-// fold is the value of a minute's sums.
-type fold struct {
-	// Done is false while a reader is summing up; see Reader.fold.
+// minuteSums is the value of the object with a minute's sums.
+type minuteSums struct {
+	// Done is false in a marker, which a reader writes before it sums the minute up; see
+	// Reader.aggregate.
 	Done bool `cbor:"1,keyasint"`
 	Sums Sums `cbor:"2,keyasint"`
 }
 
-// Reader sums bills up. Any VM may read at any time.
+// Reader sums up bills. Any number of VMs may read at any time.
 type Reader struct {
 	store durable.Store
 }
@@ -31,17 +32,17 @@
 // NewReader returns a reader of the store's bills.
 func NewReader(store durable.Store) *Reader { return &Reader{store: store} }
 
-// Day gives the sums of the day, in UTC, that t lies in. Minutes that are old
-// enough are summed up once and for all on the way.
+// Day returns the sums of the UTC day that contains t. It stores the sums of minutes that are
+// old enough.
 func (r *Reader) Day(ctx context.Context, t time.Time) (Sums, error) {
 	start := t.UTC().Truncate(day)
 	listing, err := r.store.List(ctx, sumsKind(start))
 	if err != nil {
 		return Sums{}, trace.Wrap(err)
 	}
-	folds := map[string]durable.Object{}
+	stored := map[string]durable.Object{}
 	for _, o := range listing.Objects {
-		folds[o.Name] = o
+		stored[o.Name] = o
 	}
 	total := newTally()
 	now := time.Now()
@@ -50,7 +51,7 @@
 		end = ahead
 	}
 	for minute := start; minute.Before(end); minute = minute.Add(time.Minute) {
-		sums, err := r.minute(ctx, minute, folds[sumsName(minute)], now)
+		sums, err := r.minute(ctx, minute, stored[sumsName(minute)], now)
 		if err != nil {
 			return Sums{}, trace.Wrap(err)
 		}
@@ -59,9 +60,9 @@
 	return total.sums(), nil
 }
 
-// minute gives a minute's sums, from its fold if there is one.
+// minute returns a minute's sums: the stored ones in at, or else new ones.
 func (r *Reader) minute(ctx context.Context, minute time.Time, at durable.Object, now time.Time) (Sums, error) {
-	var f fold
+	var f minuteSums
 	if at.Version != 0 {
 		if err := cbor.Unmarshal(at.Value, &f); err != nil {
 			return Sums{}, err
@@ -70,14 +71,14 @@
 	if f.Done {
 		return f.Sums, nil
 	}
-	if now.Sub(minute) < foldAfter {
-		return r.raw(ctx, minute)
+	if now.Sub(minute) < aggregateAfter {
+		return r.sumBatches(ctx, minute)
 	}
-	return r.fold(ctx, minute, at.Version)
+	return r.aggregate(ctx, minute, at.Version)
 }
 
-// raw sums up the batches of a minute; each request counts once.
-func (r *Reader) raw(ctx context.Context, minute time.Time) (Sums, error) {
+// sumBatches returns the sums of a minute's batches; each request counts once.
+func (r *Reader) sumBatches(ctx context.Context, minute time.Time) (Sums, error) {
 	listing, err := r.store.List(ctx, minuteKind(minute))
 	if err != nil {
 		return Sums{}, err
@@ -95,34 +96,34 @@
 	return t.sums(), nil
 }
 
-// fold sums a minute up for good. A mark goes first, the list after it, and the
-// sums replace the mark conditionally. A batch that comes late takes the minute's
-// sums away after it is written: so either the list has the batch, or the mark
-// is gone and the sums are not written.
-func (r *Reader) fold(ctx context.Context, minute time.Time, at int64) (Sums, error) {
+// aggregate sums up a minute and stores the sums. It first writes an object without sums as a
+// marker, then lists the batches, and then replaces the marker conditionally. The write of a
+// late batch is followed by the deletion of the minute's sums or marker. So either the listing
+// contains the batch, or the marker is gone and the sums are not stored.
+func (r *Reader) aggregate(ctx context.Context, minute time.Time, at int64) (Sums, error) {
 	key := durable.Key{Kind: sumsKind(minute), Name: sumsName(minute)}
-	mark, err := cbor.Marshal(fold{})
+	marker, err := cbor.Marshal(minuteSums{})
 	if err != nil {
 		return Sums{}, err
 	}
-	marked, markErr := r.store.Put(ctx, key, mark, at)
-	sums, err := r.raw(ctx, minute)
+	marked, markErr := r.store.Put(ctx, key, marker, at)
+	sums, err := r.sumBatches(ctx, minute)
 	if err != nil || markErr != nil {
-		// Another reader is at it, or the mark's fate is unknown: the sums are
-		// true for now, and not kept.
+		// Another reader is summing up the minute, or it is unknown whether the marker was
+		// written. The sums are correct now, but are not stored.
 		return sums, err
 	}
-	done, err := cbor.Marshal(fold{Done: true, Sums: sums})
+	done, err := cbor.Marshal(minuteSums{Done: true, Sums: sums})
 	if err != nil {
 		return Sums{}, err
 	}
-	// A failure leaves the mark, which the next reader replaces.
+	// If this write fails, the marker stays until the next reader replaces it.
 	_, _ = r.store.Put(ctx, key, done, marked.Version)
 	return sums, nil
 }
 
-// dropSums takes a minute's sums or mark away.
-func dropSums(ctx context.Context, store durable.Store, minute time.Time) error {
+// deleteSums deletes a minute's sums or marker.
+func deleteSums(ctx context.Context, store durable.Store, minute time.Time) error {
 	key := durable.Key{Kind: sumsKind(minute), Name: sumsName(minute)}
 	for {
 		o, err := store.Get(ctx, key)
@@ -142,14 +143,14 @@
 	}
 }
 
-// ErrTooYoung: batches of the day may still come.
-var ErrTooYoung = errors.New("the day's bills may not be complete yet")
+// ErrDayIncomplete reports that batches of the day may still be written.
+var ErrDayIncomplete = errors.New("the day's bills may not be complete yet")
 
-// Purge deletes the batches of a day's minutes that are summed up. It refuses a
-// day to which a spool may still add.
+// Purge deletes the batches of a day's minutes that are summed up. It returns ErrDayIncomplete
+// for a day to which a spool may still add batches.
 func (r *Reader) Purge(ctx context.Context, t time.Time) error {
-	if time.Since(t.UTC().Truncate(day)) < day+tooLate+time.Hour {
-		return ErrTooYoung
+	if time.Since(t.UTC().Truncate(day)) < day+maxBatchAge+time.Hour {
+		return ErrDayIncomplete
 	}
 	listing, err := r.store.List(ctx, sumsKind(t))
 	if err != nil {
@@ -157,7 +158,7 @@
 	}
 	start := t.UTC().Truncate(day)
 	for _, o := range listing.Objects {
-		var f fold
+		var f minuteSums
 		if cbor.Unmarshal(o.Value, &f) != nil || !f.Done {
 			continue
 		}
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// tally sums bills and knows the requests that it has seen.
+// tally sums up bills and records the requests that it has counted.
 type tally struct {
 	rows       map[[2]string]Row
 	seen       map[[2]string]struct{}
--- a/ledger/bill/spool.go
+++ b/ledger/bill/spool.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// DefaultKept bounds the bills in memory. Grounds: at the size designed for a
-	// VM has 30 a second, so this outlasts an outage of an hour in about 20 MB.
-	DefaultKept = 120_000
-	// batchBills bounds a batch far below durable.MaxValue.
-	batchBills = 4000
-	// foldAfter is the age at which a minute may be summed up. Grounds: longer
-	// than all but the longest requests; later bills are still counted, at the
-	// price of summing their minute again.
-	foldAfter = 15 * time.Minute
-	// tooLate is the age from which a batch is dropped and counted as lost: its
-	// minute may be purged, and sums made anew would miss all that was purged.
-	tooLate = 48 * time.Hour
+	// DefaultMaxBills is the default maximum number of bills in memory. A VM has 30 bills a
+	// second at the intended size, so this lasts for an outage of an hour and takes about 20 MB.
+	DefaultMaxBills = 120_000
+	// maxBatchBills is the maximum number of bills in a batch; the batch's size stays far below
+	// durable.MaxValue.
+	maxBatchBills = 4000
+	// aggregateAfter is the age at which a minute may be summed up. It is longer than all but
+	// the longest requests take. Later bills are still counted, but their minute must be summed
+	// up again.
+	aggregateAfter = 15 * time.Minute
+	// maxBatchAge is the age from which a batch is dropped and counted as lost: the batches of
+	// its minute may have been purged, and new sums would lack the purged bills.
+	maxBatchAge = 48 * time.Hour
 )
 
-// Settings of a Spool.
+// Settings configure a Spool.
 type Settings struct {
 	// VM and Incarnation make the names of batches unique.
 	VM          string
 	Incarnation uint64
-	// Kept bounds the bills in memory; default DefaultKept.
-	Kept int
+	// MaxBills is the maximum number of bills in memory; 0 means DefaultMaxBills.
+	MaxBills int
 }
 
-// Spool holds bills until they are written. A VM that dies loses those that it
-// had not flushed; nothing is ever written twice under two names.
+// Spool holds bills until they are written. A VM that crashes loses the bills that it had not
+// flushed. No bill is ever written under two names.
 type Spool struct {
 	store    durable.Store
 	settings Settings
 	metrics  *metrics
 
-	// sending admits one flush at a time.
+	// sending is held during a flush, so that only one runs at a time.
 	sending sync.Mutex
 
-	mu     sync.Mutex
-	fresh  map[time.Time][]Bill // by minute, not yet in a batch
-	unsent []batch
-	held   int // bills in fresh and unsent
-	number uint64
+	mu        sync.Mutex
+	unbatched map[time.Time][]Bill // bills that are not in a batch yet, by minute
+	unsent    []batch
+	held      int // number of bills in unbatched and unsent
+	number    uint64
 }
 
 type metrics struct {
-	written prometheus.Counter // goldcrest_bills_written_total: bills that the store has
-	lost    prometheus.Counter // goldcrest_bills_lost_total: bills dropped, the spool being full or they too late
+	written prometheus.Counter // goldcrest_bills_written_total: bills in the store
+	lost    prometheus.Counter // goldcrest_bills_lost_total: bills dropped because the spool was full or they were too late
 	batches prometheus.Counter // goldcrest_bill_batches_total: objects written
 	spooled prometheus.Gauge   // goldcrest_bills_spooled: bills in memory
 }
@@ -66,8 +67,8 @@
 		return prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 	}
 	m := &metrics{
-		written: counter("goldcrest_bills_written_total", "Bills that the store has."),
-		lost:    counter("goldcrest_bills_lost_total", "Bills dropped since the spool was full or they came too late."),
+		written: counter("goldcrest_bills_written_total", "Bills written to the store."),
+		lost:    counter("goldcrest_bills_lost_total", "Bills dropped because the spool was full or they were too late."),
 		batches: counter("goldcrest_bill_batches_total", "Batches of bills written."),
 		spooled: prometheus.NewGauge(prometheus.GaugeOpts{Name: "goldcrest_bills_spooled", Help: "Bills in memory."}),
 	}
@@ -77,30 +78,31 @@
 	return m
 }
 
-// NewSpool returns an empty spool. Metrics are registered with r unless it is nil.
+// NewSpool returns an empty spool that writes to store. Metrics are registered with r unless it
+// is nil.
 func NewSpool(store durable.Store, r prometheus.Registerer, s Settings) *Spool {
-	if s.Kept == 0 {
-		s.Kept = DefaultKept
+	if s.MaxBills == 0 {
+		s.MaxBills = DefaultMaxBills
 	}
-	return &Spool{store: store, settings: s, metrics: newMetrics(r), fresh: map[time.Time][]Bill{}}
+	return &Spool{store: store, settings: s, metrics: newMetrics(r), unbatched: map[time.Time][]Bill{}}
 }
 
-// Add takes a bill over; false says that the spool is full and the bill lost.
+// Add adds a bill. It returns false if the spool is full; the bill is then lost.
 func (s *Spool) Add(b Bill) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held >= s.settings.Kept {
+	if s.held >= s.settings.MaxBills {
 		s.metrics.lost.Inc()
 		return false
 	}
 	minute := b.Accepted.UTC().Truncate(time.Minute)
-	s.fresh[minute] = append(s.fresh[minute], b)
-	s.hold(1)
+	s.unbatched[minute] = append(s.unbatched[minute], b)
+	s.addHeld(1)
 	return true
 }
 
-// hold counts bills in or out. Callers hold s.mu.
-func (s *Spool) hold(n int) {
+// addHeld adds n, which may be negative, to the number of bills held. Callers hold s.mu.
+func (s *Spool) addHeld(n int) {
 	s.held += n
 	s.metrics.spooled.Set(float64(s.held))
 }
@@ -114,43 +116,43 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			_ = s.Flush(ctx) // what it leaves, the next tick takes up
+			_ = s.Flush(ctx) // the next tick retries what is left
 		}
 	}
 }
 
-// Flush writes all bills held. What the store did not take stays, under the
-// same names, so that a write whose reply was lost is only repeated.
+// Flush writes all bills held. Batches that the store did not take are kept under the same
+// names, so that the repeat of a write whose reply was lost has no second effect.
 func (s *Spool) Flush(ctx context.Context) error {
 	s.sending.Lock()
 	defer s.sending.Unlock()
-	if err := s.close(); err != nil {
+	if err := s.closeBatches(); err != nil {
 		return err
 	}
 	for {
-		b, ok := s.first()
+		b, ok := s.firstUnsent()
 		if !ok {
 			return nil
 		}
-		if time.Since(b.Minute) >= tooLate {
-			s.sent(b, s.metrics.lost)
+		if time.Since(b.Minute) >= maxBatchAge {
+			s.removeFirst(b, s.metrics.lost)
 			continue
 		}
-		if err := s.send(ctx, b); err != nil {
+		if err := s.writeBatch(ctx, b); err != nil {
 			return trace.Wrap(err, "writing bills")
 		}
-		s.sent(b, s.metrics.written)
+		s.removeFirst(b, s.metrics.written)
 		s.metrics.batches.Inc()
 	}
 }
 
-// close puts fresh bills into batches.
-func (s *Spool) close() error {
+// closeBatches moves the unbatched bills into batches.
+func (s *Spool) closeBatches() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for minute, bills := range s.fresh {
+	for minute, bills := range s.unbatched {
 		for len(bills) > 0 {
-			n := min(len(bills), batchBills)
+			n := min(len(bills), maxBatchBills)
 			value, err := cbor.Marshal(bills[:n])
 			if err != nil {
 				return trace.Wrap(err)
@@ -160,12 +162,12 @@
 			s.number++
 			bills = bills[n:]
 		}
-		delete(s.fresh, minute)
+		delete(s.unbatched, minute)
 	}
 	return nil
 }
 
-func (s *Spool) first() (batch, bool) {
+func (s *Spool) firstUnsent() (batch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.unsent) == 0 {
@@ -174,38 +176,38 @@
 	return s.unsent[0], true
 }
 
-// sent forgets the first batch and counts its bills.
-func (s *Spool) sent(b batch, as prometheus.Counter) {
+// removeFirst removes the first batch and adds its bills to a counter.
+func (s *Spool) removeFirst(b batch, as prometheus.Counter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unsent = s.unsent[1:]
-	s.hold(-b.Bills)
+	s.addHeld(-b.Bills)
 	as.Add(float64(b.Bills))
 }
 
-// send writes one batch. The name is this batch's alone, so an object that is
-// there already is the batch itself, from a write whose reply was lost.
-func (s *Spool) send(ctx context.Context, b batch) error {
+// writeBatch writes one batch. Its name is unique, so an object that exists under it is the
+// batch itself, from a write whose reply was lost.
+func (s *Spool) writeBatch(ctx context.Context, b batch) error {
 	key := durable.Key{Kind: minuteKind(b.Minute), Name: b.Name}
 	_, err := s.store.Put(ctx, key, b.Value, 0)
 	if err != nil && !errors.Is(err, durable.ErrConflict) {
 		return err
 	}
-	if time.Since(b.Minute) < foldAfter/2 {
+	if time.Since(b.Minute) < aggregateAfter/2 {
 		return nil
 	}
-	// The minute may be summed up already, or be so at this moment, without this
-	// batch: its sums are taken away, and the next reader sums it up again.
-	return dropSums(ctx, s.store, b.Minute)
+	// The minute may already be summed up, or be summed up at this moment, without this batch.
+	// Its sums are deleted, and the next reader sums it up again.
+	return deleteSums(ctx, s.store, b.Minute)
 }
 
-// Handover gives what is held, for Accept on another VM, and forgets it. The
-// batches keep their names: should a write of this VM still take effect, or the
-// hand-over arrive twice, the store has each batch once all the same.
+// Handover removes all bills from the spool and returns them, encoded for Accept on another VM.
+// The batches keep their names: if a write of this VM still takes effect, or if Accept is
+// called twice, the store contains each batch only once.
 func (s *Spool) Handover() ([]byte, error) {
 	s.sending.Lock()
 	defer s.sending.Unlock()
-	if err := s.close(); err != nil {
+	if err := s.closeBatches(); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -215,12 +217,12 @@
 		return nil, trace.Wrap(err)
 	}
 	s.unsent = nil
-	s.hold(-s.held)
+	s.addHeld(-s.held)
 	return body, nil
 }
 
-// Accept takes over what another VM handed over; a spool that is full takes it
-// all the same, for it would be lost otherwise.
+// Accept adds the bills that Handover returned on another VM. A full spool accepts them too,
+// because they would be lost otherwise.
 func (s *Spool) Accept(body []byte) error {
 	var batches []batch
 	if err := cbor.Unmarshal(body, &batches); err != nil {
@@ -230,12 +232,12 @@
 	defer s.mu.Unlock()
 	s.unsent = append(s.unsent, batches...)
 	for _, b := range batches {
-		s.hold(b.Bills)
+		s.addHeld(b.Bills)
 	}
 	return nil
 }
 
-// Held is the number of bills in memory, for the state dump.
+// Held returns the number of bills in memory, for the state dump.
 func (s *Spool) Held() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
