--- a/ledger/ledgerbench/main.go
+++ b/ledger/ledgerbench/main.go
@@ -1,9 +1,8 @@
-// Command ledgerbench measures the ledger against the platform's stand-in on
-// one machine: requests and writes a second, batches and conflicts by number of
-// VMs (-section writers), by offered load (-section load), under the platform's
-// write cap (-section cap), and a shard's memory and bytes by number of entries
-// (-section state). A request here is one that may run at most once: a claim
-// and its outcome, two decisions.
+// Command ledgerbench measures the ledger against the platform's stand-in on one machine:
+// requests and writes a second, batches and conflicts by the number of VMs (-section writers),
+// by offered load (-section load) and under the platform's write limit (-section cap), and a
+// shard's memory and bytes by the number of entries (-section state). A request is one that may
+// run at most once; it takes two ledger operations, a claim and its outcome.
 package main
 
 import (
@@ -35,7 +34,7 @@
 	sections := []struct {
 		name string
 		run  func(options) error
-	}{{"writers", writers}, {"cap", capped}, {"load", load}, {"state", state}}
+	}{{"writers", measureWriters}, {"cap", measureCap}, {"load", measureLoad}, {"state", measureState}}
 	for _, s := range sections {
 		if o.Section != "all" && o.Section != s.name {
 			continue
@@ -47,14 +46,15 @@
 	}
 }
 
-// mode is one way to bring entries to the store.
+// mode is a configuration of the ledgers: whether they forward to a shard's owner, commit in
+// groups and limit their writes.
 type mode struct {
-	name        string
-	hint, group bool
-	pace        float64 // writes a second for all shards; negative: unbounded
+	name                        string
+	forwardToOwner, groupCommit bool
+	writesPerSecond             float64 // write rate for all shards together, per second; negative: no limit
 }
 
-// fleet is a number of VMs with ledgers over one store.
+// fleet is a set of VMs with ledgers over one store.
 type fleet struct {
 	store    *store.Store
 	ledgers  map[string]*ledger.Ledger
@@ -62,36 +62,37 @@
 	registry *prometheus.Registry
 }
 
-func newFleet(vms int, m mode, delay time.Duration, cap float64) *fleet {
+func newFleet(vms int, m mode, delay time.Duration, writeLimit float64) *fleet {
 	f := &fleet{store: store.New(), ledgers: map[string]*ledger.Ledger{}, registry: prometheus.NewRegistry()}
 	f.store.SetFaults(store.Faults{Delay: delay})
-	f.store.SetRates(cap, 0)
+	f.store.SetRates(writeLimit, 0)
 	for i := range vms {
 		name := "vm" + strconv.Itoa(i)
 		f.names = append(f.names, name)
 		var forward ledger.Forwarder
-		if m.hint {
+		if m.forwardToOwner {
 			forward = peer{f, name}
 		}
 		labelled := prometheus.WrapRegistererWith(prometheus.Labels{"vm": name}, f.registry)
 		f.ledgers[name] = ledger.New(f.store, forward, labelled, ledger.Settings{
-			VM: name, Incarnation: 1, WritesPerSecond: m.pace, NoGroupCommit: !m.group,
+			VM: name, Incarnation: 1, WritesPerSecond: m.writesPerSecond, NoGroupCommit: !m.groupCommit,
 		})
 	}
 	return f
 }
 
-// peer is the peer link within one process, with owners by rendezvous.
+// peer is a VM's connection to the others within one process. Owners are chosen by rendezvous
+// hashing.
 type peer struct {
 	fleet *fleet
 	self  string
 }
 
 func (p peer) Owner(shard int) (string, bool) {
-	best, lead := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for _, name := range p.fleet.names {
-		if score := xxhash.Sum64String(name + "/" + strconv.Itoa(shard)); score >= lead {
-			best, lead = name, score
+		if score := xxhash.Sum64String(name + "/" + strconv.Itoa(shard)); score >= bestScore {
+			best, bestScore = name, score
 		}
 	}
 	return best, best == p.self
@@ -101,8 +102,9 @@
 	return p.fleet.ledgers[vm].HandlePeer(ctx, body)
 }
 
-// counted sums a counter over all VMs, with one label's value if label is set.
-func (f *fleet) counted(name, label, value string) float64 {
+// counterTotal returns the sum over all VMs of a counter, or of a histogram's values. If label
+// is set, it only includes metrics with this value of the label.
+func (f *fleet) counterTotal(name, label, value string) float64 {
 	families, err := f.registry.Gather()
 	if err != nil {
 		return 0
--- a/ledger/ledgerbench/run.go
+++ b/ledger/ledgerbench/run.go
@@ -18,7 +18,7 @@
 	"goldcrestfork/standin/store"
 )
 
-// seed of the callers' choices of a VM.
+// seed is the seed of the open load's random choices of a VM.
 const seed = 20261202
 
 // Bounds of the latency histogram, in microseconds.
@@ -28,14 +28,14 @@
 	latencyDigits  = 3
 )
 
-// row is what one run measured; rates are a second.
+// row holds the results of one run; rates are per second.
 type row struct {
 	requests, failed, puts, conflicts float64
 	batch, overRate                   float64
 	p50, p99                          time.Duration
-	cpu                               time.Duration // of the process, stand-in included, a decision
-	cpuShare                          float64       // of one core
-	bytes                             float64       // put to the store, a second
+	cpu                               time.Duration // processor time of the process, stand-in included, per decision
+	cpuShare                          float64       // share of one core
+	bytes                             float64       // bytes put to the store, per second
 }
 
 const header = "vms  mode              requests/s  failed/s  writes/s  conflicts/s  entries/write  p50 ms  p99 ms  KB/s put  cpu us/decision"
@@ -48,7 +48,7 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// median gives the run in the middle by requests a second.
+// median returns the run with the median of requests per second.
 func median(runs int, measure func() row) row {
 	var rows []row
 	for range runs {
@@ -58,7 +58,7 @@
 	return rows[len(rows)/2]
 }
 
-// meter gathers what callers saw.
+// meter records the results and latencies of requests.
 type meter struct {
 	done, failed atomic.Int64
 	mu           sync.Mutex
@@ -69,11 +69,11 @@
 	return &meter{latency: hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits)}
 }
 
-// retryAfter is how long a refused caller of a closed loop waits.
+// retryAfter is the wait of a closed loop's caller after a refusal.
 const retryAfter = 250 * time.Millisecond
 
-// request claims and finishes one request; only the claim is waited for by a
-// caller before its request runs, so its time is what the latency shows.
+// request claims and finishes one request and reports success. The recorded latency is that of
+// the claim, because a caller only waits for the claim before its request runs.
 func (m *meter) request(c *ledger.Claims, id string) (ok bool) {
 	ctx := context.Background()
 	begun := time.Now()
@@ -86,7 +86,7 @@
 	m.mu.Lock()
 	_ = m.latency.RecordValue(took.Microseconds())
 	m.mu.Unlock()
-	if c.Finish(ctx, start.Ticket, ledger.Outcome{Known: true, Status: 201, Answer: []byte(answer)}) != nil {
+	if c.Finish(ctx, start.Ticket, ledger.Outcome{Known: true, Status: 201, Answer: []byte(bookingAnswer)}) != nil {
 		m.failed.Add(1)
 		return false
 	}
@@ -94,11 +94,11 @@
 	return true
 }
 
-// answer is of the length of a booking's.
-const answer = `{"order":"wo-2026-118234","plot":"floresti-0412","state":"booked","crew":"c-07","slot":"2026-12-03T07:30"}`
+// bookingAnswer has the length of a booking's answer.
+const bookingAnswer = `{"order":"wo-2026-118234","plot":"floresti-0412","state":"booked","crew":"c-07","slot":"2026-12-03T07:30"}`
 
-// measured runs load for d and gives the rates.
-func (f *fleet) measured(d time.Duration, load func(m *meter, claims []*ledger.Claims, stop <-chan struct{})) row {
+// measure runs load for d and returns the results.
+func (f *fleet) measure(d time.Duration, load func(m *meter, claims []*ledger.Claims, stop <-chan struct{})) row {
 	var claims []*ledger.Claims
 	for _, name := range f.names {
 		claims = append(claims, ledger.NewClaims(f.ledgers[name], nil))
@@ -111,11 +111,11 @@
 	load(m, claims, stop)
 	took := time.Since(begun).Seconds()
 	cpu := cpuTime() - cpuBefore
-	f.wait(claims)
-	return f.row(m, before, cpu, took)
+	f.waitIdle(claims)
+	return f.newRow(m, before, cpu, took)
 }
 
-func (f *fleet) wait(claims []*ledger.Claims) {
+func (f *fleet) waitIdle(claims []*ledger.Claims) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for _, c := range claims {
@@ -126,9 +126,9 @@
 	}
 }
 
-func (f *fleet) row(m *meter, before store.Counts, cpu time.Duration, seconds float64) row {
+func (f *fleet) newRow(m *meter, before store.Counts, cpu time.Duration, seconds float64) row {
 	after := f.store.Counts()
-	written := f.counted("goldcrest_ledger_writes_total", "result", "ok")
+	written := f.counterTotal("goldcrest_ledger_writes_total", "result", "ok")
 	decisions := 2 * float64(m.done.Load())
 	return row{
 		requests:  float64(m.done.Load()) / seconds,
@@ -136,7 +136,7 @@
 		puts:      float64(after.Writes()-before.Writes()) / seconds,
 		conflicts: float64(after.Conflicts-before.Conflicts) / seconds,
 		overRate:  float64(after.OverRate-before.OverRate) / seconds,
-		batch:     f.counted("goldcrest_ledger_batch_entries", "", "") / max(1, written),
+		batch:     f.counterTotal("goldcrest_ledger_batch_entries", "", "") / max(1, written),
 		p50:       time.Duration(m.latency.ValueAtQuantile(50)) * time.Microsecond,
 		p99:       time.Duration(m.latency.ValueAtQuantile(99)) * time.Microsecond,
 		cpu:       time.Duration(float64(cpu) / max(1, decisions)),
@@ -145,8 +145,9 @@
 	}
 }
 
-// closed is a load of callers that each send their next request after the answer.
-func closed(callers int) func(*meter, []*ledger.Claims, <-chan struct{}) {
+// closedLoop returns a load of callers that each send their next request after the previous
+// answer.
+func closedLoop(callers int) func(*meter, []*ledger.Claims, <-chan struct{}) {
 	return func(m *meter, claims []*ledger.Claims, stop <-chan struct{}) {
 		var wg sync.WaitGroup
 		for i := range callers {
@@ -162,8 +163,8 @@
 	}
 }
 
-// open is a load of perSecond requests, whatever becomes of the earlier ones.
-func open(perSecond int) func(*meter, []*ledger.Claims, <-chan struct{}) {
+// openLoop returns a load of perSecond requests per second, independent of their answers.
+func openLoop(perSecond int) func(*meter, []*ledger.Claims, <-chan struct{}) {
 	return func(m *meter, claims []*ledger.Claims, stop <-chan struct{}) {
 		var wg sync.WaitGroup
 		choose := rand.New(rand.NewPCG(seed, 0))
@@ -186,7 +187,7 @@
 	}
 }
 
-// cpuTime is the processor time of this process, the stand-in's included.
+// cpuTime returns the processor time that this process has used, stand-in included.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/ledger/ledgerbench/sections.go
+++ b/ledger/ledgerbench/sections.go
@@ -13,23 +13,24 @@
 
 var (
 	modes = []mode{
-		{name: "one a write", pace: -1},
-		{name: "one a write+hint", hint: true, pace: -1},
-		{name: "group", group: true, pace: -1},
-		{name: "group+hint", hint: true, group: true, pace: -1},
-		{name: "group+hint+pace", hint: true, group: true, pace: ledger.DefaultWritesPerSecond},
+		{name: "one a write", writesPerSecond: -1},
+		{name: "one a write+hint", forwardToOwner: true, writesPerSecond: -1},
+		{name: "group", groupCommit: true, writesPerSecond: -1},
+		{name: "group+hint", forwardToOwner: true, groupCommit: true, writesPerSecond: -1},
+		{name: "group+hint+pace", forwardToOwner: true, groupCommit: true, writesPerSecond: ledger.DefaultWritesPerSecond},
 	}
 	fleetSizes = []int{1, 7, 40}
 )
 
-// writers compares the modes by number of VMs, without a cap of the platform's.
-func writers(o options) error {
+// measureWriters compares the modes by the number of VMs, without a write limit of the
+// platform.
+func measureWriters(o options) error {
 	fmt.Printf("\n# writers: %d callers in a closed loop, platform delay %v, no cap, median of %d runs of %v\n%s\n",
 		o.Callers, o.Delay, o.Runs, o.Time, header)
 	for _, vms := range fleetSizes {
 		for _, m := range modes {
 			r := median(o.Runs, func() row {
-				return newFleet(vms, m, o.Delay, 0).measured(o.Time, closed(o.Callers))
+				return newFleet(vms, m, o.Delay, 0).measure(o.Time, closedLoop(o.Callers))
 			})
 			r.print(vms, m.name)
 		}
@@ -37,50 +38,50 @@
 	return nil
 }
 
-// platformCap is "several hundred writes a second", in the stand-in.
+// platformCap is the stand-in's limit of writes per second; the platform takes several hundred.
 const platformCap = 500
 
-// capped shows how far each mode gets under the platform's cap.
-func capped(o options) error {
+// measureCap measures the throughput of each mode under the platform's write limit.
+func measureCap(o options) error {
 	fmt.Printf("\n# cap: the same, the platform refuses writes over %d/s\n%s\n", platformCap, header)
 	const vms = 7
 	for _, m := range modes {
 		r := median(o.Runs, func() row {
-			return newFleet(vms, m, o.Delay, platformCap).measured(o.Time, closed(o.Callers))
+			return newFleet(vms, m, o.Delay, platformCap).measure(o.Time, closedLoop(o.Callers))
 		})
 		r.print(vms, m.name)
 	}
 	return nil
 }
 
-// load gives the slopes by offered requests a second, as the ledger ships.
-func load(o options) error {
+// measureLoad measures the ledger's default mode by the number of offered requests per second.
+func measureLoad(o options) error {
 	const vms = 40
 	m := modes[len(modes)-1]
 	fmt.Printf("\n# load: open loop, %s, one run of %v each\n%s\n", m.name, 5*o.Time, header)
 	for _, perSecond := range []int{50, 200, 600, 1200} {
-		r := newFleet(vms, m, o.Delay, platformCap).measured(5*o.Time, open(perSecond))
+		r := newFleet(vms, m, o.Delay, platformCap).measure(5*o.Time, openLoop(perSecond))
 		r.print(vms, fmt.Sprintf("%d/s", perSecond))
 	}
 	return nil
 }
 
-// state gives the memory and the bytes of one shard by its number of entries,
-// and what a VM pays that takes it over.
-func state(o options) error {
+// measureState measures the memory and the bytes of one shard by its number of entries, and the
+// cost for a VM that takes the shard over.
+func measureState(o options) error {
 	fmt.Printf("\n# state: one shard, decided values of 100 bytes, platform delay %v\n", o.Delay)
 	fmt.Println("entries  segments  store bytes/entry  heap bytes/entry  put bytes/entry  takeover reads  takeover ms")
 	for _, n := range []int{2_000, 8_000, 32_000} {
-		if err := stateOf(o, n); err != nil {
+		if err := measureShard(o, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func stateOf(o options, entries int) error {
-	f := newFleet(2, mode{group: true, pace: -1}, 0, 0)
-	writer, taker := f.ledgers[f.names[0]], f.ledgers[f.names[1]]
+func measureShard(o options, entries int) error {
+	f := newFleet(2, mode{groupCommit: true, writesPerSecond: -1}, 0, 0)
+	writer, successor := f.ledgers[f.names[0]], f.ledgers[f.names[1]]
 	const shard = 1
 	ctx := context.Background()
 	var last ledger.Key
@@ -91,7 +92,7 @@
 		}
 		n++
 		last = k
-		if _, _, err := writer.Decide(ctx, k, []byte(answer[:100]), 24); err != nil {
+		if _, _, err := writer.Decide(ctx, k, []byte(bookingAnswer[:100]), 24); err != nil {
 			return err
 		}
 	}
@@ -101,16 +102,16 @@
 	reads := f.store.Counts().Gets
 	heap := heapBytes()
 	begun := time.Now()
-	if _, _, err := taker.Decide(ctx, last, nil, 24); err != nil {
+	if _, _, err := successor.Decide(ctx, last, nil, 24); err != nil {
 		return err
 	}
 	took := time.Since(begun)
 	grown := heapBytes() - heap
-	info := taker.Dump().Shards[0]
+	info := successor.Dump().Shards[0]
 	fmt.Printf("%-8d %8d %18.0f %17.0f %16.0f %15d %12.0f\n", entries, info.Segments,
 		float64(f.store.Bytes())/float64(entries), float64(grown)/float64(entries),
 		float64(put)/float64(entries), f.store.Counts().Gets-reads, ms(took))
-	runtime.KeepAlive(taker)
+	runtime.KeepAlive(successor)
 	return nil
 }
 
