--- a/ledger/pin/pin_test.go
+++ b/ledger/pin/pin_test.go
@@ -109,7 +109,7 @@
 	}
 	first := at("a", "", old, anyVersion)
 	require.Equal(t, Pin{Version: "v1", Source: SourceRecord, Token: first.Token}, first)
-	require.Equal(t, "v1", at("b", "", stepped, anyVersion).Version, "the ledger record keeps the version")
+	require.Equal(t, "v1", at("b", "", stepped, anyVersion).Version, "the ledger record did not keep the version")
 	s.SetFaults(store.Faults{Down: true})
 	byToken := at("c", first.Token, stepped, anyVersion)
 	require.Equal(t, "v1", byToken.Version)
