--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -46,15 +46,15 @@
 func TestClaimLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
-		aLives := true
+		aAlive := true
 		a := testClaims(s, "a", nil)
 		b := testClaims(s, "b", func(vm string, incarnation uint64) bool {
-			return aLives && vm == "a" && incarnation == 1
+			return aAlive && vm == "a" && incarnation == 1
 		})
 		ticket := mustBegin(t, a)
 		mustRepeat(t, a, StateOpen)
 		mustRepeat(t, b, StateOpen)
-		aLives = false
+		aAlive = false
 		mustRepeat(t, b, StateUnknown)
 		_, err := b.Begin(t.Context(), refund, refundBody+1)
 		require.ErrorIs(t, err, ErrOtherRequest)
--- a/ledger/fakes_test.go
+++ b/ledger/fakes_test.go
@@ -16,12 +16,12 @@
 
 	mu                  sync.Mutex
 	resumed             chan struct{} // non-nil while frozen; closed by resume
-	dead                bool
-	callsUntilDeath     int // 0: the VM doesn't crash
+	crashed             bool
+	callsUntilCrash     int // 0: the VM doesn't crash
 	lastCallTakesEffect bool
 }
 
-var errDead = errors.New("this VM has crashed")
+var errCrashed = errors.New("this VM has crashed")
 
 // nextCall blocks while the VM is frozen. It reports whether the call is made and whether the
 // VM gets its reply.
@@ -29,17 +29,17 @@
 	v.waitUntilResumed()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.dead {
+	if v.crashed {
 		return false, false
 	}
-	if v.callsUntilDeath == 0 {
+	if v.callsUntilCrash == 0 {
 		return true, true
 	}
-	v.callsUntilDeath--
-	if v.callsUntilDeath > 0 {
+	v.callsUntilCrash--
+	if v.callsUntilCrash > 0 {
 		return true, true
 	}
-	v.dead = true
+	v.crashed = true
 	return v.lastCallTakesEffect, false
 }
 
@@ -69,16 +69,16 @@
 	}
 }
 
-func (v *vmStore) dieAfter(calls int, effect bool) {
+func (v *vmStore) crashAfter(calls int, effect bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.callsUntilDeath, v.lastCallTakesEffect = calls, effect
+	v.callsUntilCrash, v.lastCallTakesEffect = calls, effect
 }
 
 func (v *vmStore) alive() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.dead
+	return !v.crashed
 }
 
 func (v *vmStore) Get(ctx context.Context, k durable.Key) (durable.Object, error) {
@@ -154,7 +154,7 @@
 func (l link) Forward(ctx context.Context, vm string, body []byte) ([]byte, error) {
 	peer := l.net.peer(vm)
 	if peer == nil {
-		return nil, errDead
+		return nil, errCrashed
 	}
 	switch l.net.nextFault() {
 	case netLostRequest:
@@ -162,12 +162,12 @@
 		return nil, ctx.Err()
 	case netLostReply:
 		_, _ = peer.HandlePeer(context.WithoutCancel(ctx), body)
-		return nil, errDead
+		return nil, errCrashed
 	case netLateRequest:
 		time.AfterFunc(2*forwardTimeout, func() {
 			_, _ = peer.HandlePeer(context.Background(), body)
 		})
-		return nil, errDead
+		return nil, errCrashed
 	}
 	return peer.HandlePeer(ctx, body)
 }
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -61,7 +61,7 @@
 	actHold
 	actOutage
 	actFreeze
-	actDie
+	actCrash
 	actNetwork
 	actSleep
 	actKinds
@@ -179,8 +179,8 @@
 	case actFreeze:
 		vm.store.freeze()
 		time.AfterFunc(3*a.Wait, vm.store.resume)
-	case actDie:
-		vm.store.dieAfter(a.Count, a.Flag)
+	case actCrash:
+		vm.store.crashAfter(a.Count, a.Flag)
 		m.start(a.VM)
 	case actNetwork:
 		m.net.mu.Lock()
--- a/ledger/op.go
+++ b/ledger/op.go
@@ -80,10 +80,10 @@
 	if renew {
 		next.Expire = hour + o.Hours
 	}
-	return next, renew, result{Verdict: ownerVerdict(e, o)}
+	return next, renew, result{Verdict: writerVerdict(e, o)}
 }
 
-func ownerVerdict(e *Entry, o op) verdict {
+func writerVerdict(e *Entry, o op) verdict {
 	if e.Nonce == o.Nonce {
 		return verdictMine
 	}
--- a/ledger/state_test.go
+++ b/ledger/state_test.go
@@ -106,13 +106,13 @@
 		for _, effect := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New()
-				dying := &vmStore{Store: s}
-				a := newSealingLedger(dying, "a")
-				dying.dieAfter(calls, effect)
+				crashing := &vmStore{Store: s}
+				a := newSealingLedger(crashing, "a")
+				crashing.crashAfter(calls, effect)
 				keys := keysOfShard(3, 30)
 				var acknowledged []Key
 				for _, k := range keys {
-					if _, _, err := a.Decide(t.Context(), k, []byte("v"), 24); err == nil && dying.alive() {
+					if _, _, err := a.Decide(t.Context(), k, []byte("v"), 24); err == nil && crashing.alive() {
 						acknowledged = append(acknowledged, k)
 					}
 				}
