--- a/router/refusal/refusal.go
+++ b/router/refusal/refusal.go
@@ -1,6 +1,6 @@
-// Package refusal holds the final answers that are not the result a caller asked
-// for. Each has a stable code and says whether the request ran, as far as that
-// is known for certain, and when coming back helps.
+// Package refusal holds the final answers other than the result that a caller asked for.
+// Each has a stable code and states whether the request ran, as far as this is certain,
+// and when a retry helps.
 package refusal
 
 import (
@@ -17,15 +17,17 @@
 
 // What is known about a run.
 const (
-	// NotRun: no byte of the request left for an endpoint, or the endpoint said that it did not run it.
+	// NotRun: no byte of the request was sent to an endpoint, or the endpoint answered
+	// that it did not run the request.
 	NotRun Ran = "not run"
 	// DidRun: an endpoint ran the request, at least in part.
 	DidRun Ran = "ran"
-	// Unknown: it may have run; a request that must not be repeated will not be run again.
+	// Unknown: the request may have run. A request that must not be repeated is not run
+	// again.
 	Unknown Ran = "unknown"
 )
 
-// Code names the reason; codes are stable over releases.
+// Code is the reason of a refusal. Codes are stable across releases.
 type Code string
 
 // The codes of refusals.
@@ -57,23 +59,23 @@
 	SpendCap          Code = "spend-cap-reached"
 )
 
-// Refusal is one final answer that is not the result.
+// Refusal is a final answer other than the result. It implements error.
 type Refusal struct {
 	// Status is the HTTP status.
 	Status int `json:"status"`
 	// Code is the stable reason.
 	Code Code `json:"code"`
-	// Detail is for a person.
+	// Detail is a description for a person.
 	Detail string `json:"detail"`
 	// Ran is what is known about the run.
 	Ran Ran `json:"ran"`
-	// RetryAfter is when coming back helps; 0 means that it doesn't.
+	// RetryAfter is the delay after which a retry helps; 0 if a retry does not help.
 	RetryAfter time.Duration `json:"-"`
-	// RequestID ties the answer to bills, metrics and the state dump.
+	// RequestID identifies the request in bills, metrics and the state dump.
 	RequestID string `json:"requestId,omitempty"`
 }
 
-// Error makes a Refusal usable where errors are expected.
+// Error returns the code, the detail and what is known about the run.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s (%s)", r.Code, r.Detail, r.Ran) }
 
 // New returns a refusal of a request that did not run.
@@ -81,19 +83,19 @@
 	return &Refusal{Status: status, Code: code, Detail: fmt.Sprintf(format, args...), Ran: NotRun}
 }
 
-// After sets when coming back helps.
+// After sets the delay after which a retry helps, and returns r.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// WhichRan sets what is known about the run.
+// WhichRan sets what is known about the run, and returns r.
 func (r *Refusal) WhichRan(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
 }
 
-// problem is the wire form (RFC 9457).
+// problem is the problem document sent to the caller (RFC 9457).
 type problem struct {
 	Type  string `json:"type"`
 	Title string `json:"title"`
@@ -101,7 +103,7 @@
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
 }
 
-// JSON is the problem document.
+// JSON returns the problem document.
 func (r *Refusal) JSON() []byte {
 	p := problem{
 		Type:         "urn:goldcrestfork:problem:" + string(r.Code),
@@ -109,18 +111,20 @@
 		Refusal:      r,
 		RetryAfterMs: r.RetryAfter.Milliseconds(),
 	}
-	// The struct holds only strings and numbers; encoding them cannot fail.
+	// The struct holds only strings and numbers, so encoding can't fail.
 	b, _ := json.Marshal(p)
 	return b
 }
 
-// Write sends the refusal as the whole response, with when to come back in whole seconds.
+// Write sends the refusal as the whole response. Retry-After is rounded up to whole
+// seconds.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	r.write(w, strconv.Itoa(int(math.Ceil(r.RetryAfter.Seconds()))))
 }
 
-// WriteFine is Write for callers that take fractions of a second: a place that is
-// free in 150 ms is otherwise asked for a second later.
+// WriteFine is like Write, but sends Retry-After with fractions of a second for callers
+// that accept them. Otherwise capacity that is free in 150 ms would only be requested a
+// second later.
 func (r *Refusal) WriteFine(w http.ResponseWriter) {
 	r.write(w, strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 }
--- a/router/service/client.go
+++ b/router/service/client.go
@@ -1,6 +1,6 @@
-// Package service is the client of plain services. It tells an answer from a
-// call that certainly did not leave and from one whose fate is unknown, and it
-// never sends a call twice by itself.
+// Package service is the client of plain services. It distinguishes an answer, a call
+// that was certainly not sent, and a call whose outcome is unknown. It never sends a
+// call a second time by itself.
 package service
 
 import (
@@ -16,12 +16,15 @@
 )
 
 const (
-	// DialTimeout bounds the connect to an endpoint; grounds as engine.DialTimeout.
+	// DialTimeout bounds the connect to an endpoint, for the same reason as
+	// engine.DialTimeout.
 	DialTimeout = time.Second
-	// MaxAnswer bounds an answer, in bytes. Answers are held whole before a byte
-	// goes to the caller, so that a cut one is never handed on as a short success.
+	// MaxAnswer bounds an answer, in bytes. An answer is read completely before the
+	// caller gets a byte of it, so that a cut answer is never passed on as a short
+	// success.
 	MaxAnswer = 4 << 20
-	// idlePerHost keeps connections of repeatable calls open between calls.
+	// idlePerHost is the number of idle connections kept per endpoint for repeatable
+	// calls.
 	idlePerHost = 32
 )
 
@@ -35,32 +38,33 @@
 	Idempotent bool
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete answer of a service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Result says how a call ended.
+// Result is how a call ended.
 type Result int
 
-// How a call may end.
+// The results of a call.
 const (
-	// Answered: the whole answer is there.
+	// Answered: the complete answer arrived.
 	Answered Result = iota
-	// NotSent: the connect failed; no byte of the call left.
+	// NotSent: the connect failed; no byte of the call was sent.
 	NotSent
-	// Unknown: bytes left and no whole answer came; the service may have run it.
+	// Unknown: bytes were sent and no complete answer arrived; the service may have run
+	// the call.
 	Unknown
 )
 
 var resultNames = [...]string{"answered", "not-sent", "unknown"}
 
-// String is the metrics label.
+// String returns the result's value of the metrics label.
 func (r Result) String() string { return resultNames[r] }
 
-// Client calls plain services.
+// Client calls plain services. It is safe for concurrent use.
 type Client struct {
 	repeatable *http.Client
 	once       *http.Client
@@ -74,11 +78,11 @@
 		repeatable: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerHost, DisableCompression: true,
 		}},
-		// A kept connection may be closed by the service at the moment it is used
-		// again; net/http then sends the request anew when it looks repeatable, and it
-		// does look so with an Idempotency-Key header. A work order would run twice.
-		// Every such call gets a connection of its own, and Do hides the body's copy
-		// (GetBody), without which net/http can't send anything again.
+		// A service may close an idle connection at the moment of its reuse. net/http
+		// then sends the request again if it looks repeatable, and a request with an
+		// Idempotency-Key header does. A non-idempotent call would run twice. Every such
+		// call therefore gets a separate connection, and Do sets no GetBody, without
+		// which net/http can't send the body again.
 		once: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 		}},
@@ -91,10 +95,11 @@
 	return c
 }
 
-// noRedirect hands a redirect on as the answer: following it would send the call a second time.
+// noRedirect returns a redirect as the answer: following it would send the call a second
+// time.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Do makes one call.
+// Do makes one call and counts its result.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, Result, error) {
 	answer, result, err := c.do(ctx, call)
 	c.calls.WithLabelValues(result.String()).Inc()
@@ -109,7 +114,7 @@
 	client := c.repeatable
 	if !call.Idempotent {
 		client = c.once
-		// A body that is not http.NoBody and has no GetBody can't be sent again.
+		// A body other than http.NoBody can't be sent again without GetBody.
 		req.Body, req.GetBody = io.NopCloser(bytes.NewReader(call.Body)), nil
 	}
 	for k, v := range call.Header {
--- a/router/service/client_test.go
+++ b/router/service/client_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script says what a service does with its n-th request over all connections, from
-// 0, after it has read it whole: what it writes, and whether it then closes.
+// script defines what a service writes after it has read its n-th request over all
+// connections, counted from 0, and whether it then closes the connection.
 type script func(n int) (answer string, closes bool)
 
-// scripted serves a script and counts the requests that it read.
-func scripted(t *testing.T, s script) (address string, runs *atomic.Int64) {
+// startScripted serves a script and counts the requests that it has read.
+func startScripted(t *testing.T, s script) (address string, runs *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 				return
 			}
 			open = append(open, c)
-			conns.Go(func() { converse(c, s, runs) })
+			conns.Go(func() { serveScript(c, s, runs) })
 		}
 	})
 	t.Cleanup(func() {
@@ -47,7 +47,7 @@
 	return l.Addr().String(), runs
 }
 
-func converse(c net.Conn, s script, runs *atomic.Int64) {
+func serveScript(c net.Conn, s script, runs *atomic.Int64) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -76,15 +76,15 @@
 	moved = "HTTP/1.1 307 Temporary Redirect\r\nLocation: /refunds\r\nContent-Length: 0\r\n\r\n"
 )
 
-func order(address string) Call {
+func refundCall(address string) Call {
 	return Call{Address: address, Method: http.MethodPost, Path: "/refunds", Body: []byte("12 EUR"),
 		Header: http.Header{"Idempotency-Key": {"r-1"}}}
 }
 
-// A work order meets a service that reads it and then fails in one of the ways of a
-// connection. It must reach the service exactly once, whatever net/http thinks
-// of its Idempotency-Key, and only a whole answer counts as one.
-func TestOrderIsSentOnce(t *testing.T) {
+// A service reads a non-idempotent call and then fails in one of the ways a connection
+// can. The call must reach the service exactly once, although net/http repeats requests
+// with an Idempotency-Key, and only a complete answer counts as one.
+func TestNonIdempotentCallIsSentOnce(t *testing.T) {
 	always := func(answer string, closes bool) script {
 		return func(int) (string, bool) { return answer, closes }
 	}
@@ -93,20 +93,20 @@
 		result  Result
 		status  int
 	}{
-		"answers":                       {always(good, false), Answered, 200},
-		"refuses":                       {always("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false), Answered, 503},
-		"closes without a byte":         {always("", true), Unknown, 0},
-		"closes within the head":        {always("HTTP/1.1 200 O", true), Unknown, 0},
-		"closes within the answer":      {always(short, true), Unknown, 0},
-		"speaks no HTTP":                {always("hello\r\n\r\n", true), Unknown, 0},
-		"sends it elsewhere":            {always(moved, false), Answered, 307},
-		"sends its caller elsewhere":    {always(other, false), Answered, 303},
-		"answers with more than agreed": {always("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+strings.Repeat("x", MaxAnswer+1), true), Unknown, 0},
+		"answers":                  {always(good, false), Answered, 200},
+		"refuses":                  {always("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false), Answered, 503},
+		"closes without a byte":    {always("", true), Unknown, 0},
+		"closes within the head":   {always("HTTP/1.1 200 O", true), Unknown, 0},
+		"closes within the answer": {always(short, true), Unknown, 0},
+		"answers without HTTP":     {always("hello\r\n\r\n", true), Unknown, 0},
+		"redirects with 307":       {always(moved, false), Answered, 307},
+		"redirects with 303":       {always(other, false), Answered, 303},
+		"answer above MaxAnswer":   {always("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+strings.Repeat("x", MaxAnswer+1), true), Unknown, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, runs := scripted(t, row.service)
+			address, runs := startScripted(t, row.service)
 			c := NewClient(prometheus.NewRegistry())
-			answer, result, _ := c.Do(t.Context(), order(address))
+			answer, result, _ := c.Do(t.Context(), refundCall(address))
 			require.Equal(t, row.result, result)
 			require.Equal(t, row.status, answer.Status)
 			require.EqualValues(t, 1, runs.Load())
@@ -115,32 +115,33 @@
 	}
 }
 
-// A service answers a first order, keeps the connection, and closes it when it has
-// read the second. net/http sends a request that looks repeatable again then: the
-// second order would run twice.
-func TestOrderIsNotSentAgainOnAKeptConnection(t *testing.T) {
-	address, runs := scripted(t, func(n int) (string, bool) {
+// A service answers a first call, keeps the connection open, and closes it after reading
+// the second call. net/http sends a request that looks repeatable again in this case,
+// and the second call would run twice.
+func TestNonIdempotentCallIsNotResentOnKeepAliveConnection(t *testing.T) {
+	address, runs := startScripted(t, func(n int) (string, bool) {
 		if n == 1 {
 			return "", true
 		}
 		return good, false
 	})
 	c := NewClient(prometheus.NewRegistry())
-	_, result, err := c.Do(t.Context(), order(address))
+	_, result, err := c.Do(t.Context(), refundCall(address))
 	require.NoError(t, err)
 	require.Equal(t, Answered, result)
-	_, result, _ = c.Do(t.Context(), order(address))
+	_, result, _ = c.Do(t.Context(), refundCall(address))
 	require.Equal(t, Unknown, result)
 	require.EqualValues(t, 2, runs.Load())
 }
 
-// Nobody listens: no byte left, which is the one failure that is "not run" for certain.
-func TestUnreachedIsNotSent(t *testing.T) {
+// A connect to a port without a listener fails: no byte was sent, and the call certainly
+// did not run.
+func TestFailedConnectIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
 	for _, idempotent := range []bool{true, false} {
-		call := order(l.Addr().String())
+		call := refundCall(l.Addr().String())
 		call.Idempotent = idempotent
 		_, result, err := NewClient(prometheus.NewRegistry()).Do(t.Context(), call)
 		require.Error(t, err)
