--- a/router/dispatch/cold.go
+++ b/router/dispatch/cold.go
@@ -7,16 +7,17 @@
 	"goldcrestfork/policy/limit"
 )
 
-// unused is the sample of a slot that was given back without a request.
-var unused = limit.Sample{Failed: true}
+// unusedSample is the sample for a slot that was returned without a request.
+var unusedSample = limit.Sample{Failed: true}
 
-// coldRetry is how long no cold slot of an endpoint is asked for after none was to
-// be had. Grounds: a cold engine runs its few requests for a second or more, so that
-// asking sooner finds them still running; a fifth of that loses little.
-const coldRetry = 200 * time.Millisecond
+// coldSlotBackoff is how long this VM requests no further cold slot of an endpoint after
+// a failed request for one. A cold engine runs its few requests for a second or more, so
+// an earlier attempt would find the slots still taken; a fifth of that time adds little
+// delay.
+const coldSlotBackoff = 200 * time.Millisecond
 
-// takeCold gets the cold slot that a ticket needs. It may ask other VMs, so that no
-// lock is held.
+// takeCold acquires the cold slot that a ticket needs. It may call other VMs, so it does
+// not hold d.mu during the call.
 func (d *Dispatcher) takeCold(ctx context.Context, t *Ticket) bool {
 	d.mu.Lock()
 	e := d.endpoints[t.Endpoint]
@@ -36,35 +37,36 @@
 	}
 	if ok {
 		t.Cold = slot
-		e.granted++
+		e.coldHeld++
 	} else {
-		e.blocked = time.Now().Add(coldRetry)
+		e.coldBlockedUntil = time.Now().Add(coldSlotBackoff)
 	}
 	d.table.SetBounds(t.Endpoint, d.bounds(e))
-	d.pumpAll(e, time.Now())
+	d.refreshPools(e, time.Now())
 	return ok
 }
 
-// unblock lets cold slots be asked for again. Callers hold d.mu.
-func (d *Dispatcher) unblock(now time.Time) {
+// unblockColdSlots ends the backoff for cold slots of the endpoints whose backoff has
+// expired. Callers hold d.mu.
+func (d *Dispatcher) unblockColdSlots(now time.Time) {
 	for name, e := range d.endpoints {
-		if e.cold && !e.blocked.IsZero() && !now.Before(e.blocked) {
-			e.blocked = time.Time{}
+		if e.cold && !e.coldBlockedUntil.IsZero() && !now.Before(e.coldBlockedUntil) {
+			e.coldBlockedUntil = time.Time{}
 			d.table.SetBounds(name, d.bounds(e))
 		}
 	}
 }
 
-// putBack gives a ticket back whose request goes on waiting.
-func (t *Ticket) putBack() {
+// requeue returns a ticket and puts its request back into the queue at its place.
+func (t *Ticket) requeue() {
 	d, now := t.d, time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Done(now, t.picked, t.request, unused)
+	d.table.Done(now, t.picked, t.request, unusedSample)
 	if e := d.endpoints[t.Endpoint]; e != nil {
 		delete(e.running, t.item.ID)
 	}
-	t.need.made--
-	t.line.queue.PutBack(now, t.item)
-	d.refresh(t.line, now)
+	t.need.attempts--
+	t.pool.queue.PutBack(now, t.item)
+	d.refresh(t.pool, now)
 }
--- a/router/dispatch/configure.go
+++ b/router/dispatch/configure.go
@@ -12,8 +12,8 @@
 	"goldcrestfork/policy/retry"
 )
 
-// Configure takes a new configuration: endpoints that leave or whose data centre
-// is out get no new work from this call on.
+// Configure applies a new configuration. Endpoints that are removed or leaving, and
+// those of a data centre that is out, get no new work from this call on.
 func (d *Dispatcher) Configure(s *config.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,7 +29,7 @@
 		pools := poolsOf(e)
 		own := d.endpoints[name]
 		if own == nil {
-			own = &endpoint{running: make(map[uint64]poison.Fingerprint), answered: make(map[string]time.Time)}
+			own = &endpoint{running: make(map[uint64]poison.Fingerprint), lastSuccess: make(map[string]time.Time)}
 			d.endpoints[name] = own
 		}
 		if own.spec == nil || own.spec.Slots != e.Slots {
@@ -51,10 +51,10 @@
 		leaving := e.State == config.EndpointLeaving
 		dc := s.DataCentres[e.DataCentre]
 		out := dc != nil && dc.State == config.DataCentreOut
-		d.endpoints[e.Name].out = leaving || out
+		d.endpoints[e.Name].outOfService = leaving || out
 		d.table.Update(e.Name, func(st *picker.State) { st.Leaving, st.DataCentreOut = leaving, out })
 	}
-	d.setLines(members)
+	d.setPools(members)
 }
 
 func poolsOf(e *config.Endpoint) []string {
@@ -74,42 +74,43 @@
 	return picker.Spec{Name: e.Name, Pools: own.pools, DataCentre: e.DataCentre, Tier: tier, Bounds: d.bounds(own)}
 }
 
-// setLines makes one line for each pool. Callers hold d.mu.
-func (d *Dispatcher) setLines(members map[string][]string) {
+// setPools creates, resizes and removes pools so that they match members, which holds
+// the endpoint names by pool. Callers hold d.mu.
+func (d *Dispatcher) setPools(members map[string][]string) {
 	now := time.Now()
 	for pool, names := range members {
-		l := d.lines[pool]
-		if l == nil {
-			l = &line{
+		ps := d.pools[pool]
+		if ps == nil {
+			ps = &poolState{
 				name:     pool,
 				queue:    admission.New(admission.Config{}, rand.New(rand.NewPCG(d.rng.Uint64(), 0))),
 				detector: outlier.New(),
 				budget:   retry.New(retry.Ratio),
 				tracker:  poison.New(len(names)),
 			}
-			d.lines[pool] = l
+			d.pools[pool] = ps
 		}
-		l.size = len(names)
-		l.detector.Set(names)
-		l.tracker.Resize(len(names))
+		ps.endpoints = len(names)
+		ps.detector.Set(names)
+		ps.tracker.Resize(len(names))
 	}
-	for pool, l := range d.lines {
+	for pool, ps := range d.pools {
 		if members[pool] == nil {
-			l.queue.SetCapacity(now, 0)
-			d.answerRefused(l, now)
-			delete(d.lines, pool)
+			ps.queue.SetCapacity(now, 0)
+			d.deliverRefusals(ps, now)
+			delete(d.pools, pool)
 			continue
 		}
-		d.refresh(l, now)
+		d.refresh(ps, now)
 	}
 }
 
-// Rebalance takes a change of membership: the slots dealt to this VM may have moved.
-// The shares of all endpoints are worked out before the tables are locked: for 2,000
-// endpoints and 400 VMs that takes some 20 ms, in which no request would get on.
+// Rebalance recomputes this VM's share of the endpoints' warm slots after a change of
+// membership. All shares are computed before d.mu is locked: for 2,000 endpoints and 400
+// VMs that takes about 20 ms, during which a held lock would block every request.
 func (d *Dispatcher) Rebalance() {
 	shares := make(map[string]int)
-	for name, slots := range d.slotsByName() {
+	for name, slots := range d.slotsByEndpoint() {
 		shares[name] = d.cfg.Slots.Share(name, slots)
 	}
 	d.mu.Lock()
@@ -122,7 +123,7 @@
 	}
 }
 
-func (d *Dispatcher) slotsByName() map[string]int {
+func (d *Dispatcher) slotsByEndpoint() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string]int, len(d.endpoints))
@@ -132,10 +133,11 @@
 	return out
 }
 
-// ramp lets the slots of data centres that came back grow. Callers hold d.mu.
-func (d *Dispatcher) ramp(now time.Time) {
-	for dc, on := range d.ramping {
-		if !on {
+// updateRamps raises the slot bounds of endpoints in data centres that have returned to
+// service. Callers hold d.mu.
+func (d *Dispatcher) updateRamps(now time.Time) {
+	for dc, isRamping := range d.ramping {
+		if !isRamping {
 			continue
 		}
 		for name, e := range d.endpoints {
--- a/router/dispatch/dispatcher.go
+++ b/router/dispatch/dispatcher.go
@@ -13,44 +13,45 @@
 	"goldcrestfork/policy/picker"
 )
 
-// tick is the time between two looks at waiting requests whose deadline can't be
-// met any more; admission asks for it.
-const tick = 100 * time.Millisecond
+// tickInterval is the time between two calls of Tick, which refuses waiting requests
+// whose deadline can no longer be met. Package admission requires such periodic checks.
+const tickInterval = 100 * time.Millisecond
 
-// Slots deals the endpoints' slots to the VMs.
+// Slots assigns the endpoints' slots to the VMs.
 type Slots interface {
 	// Share returns how many of an endpoint's warm slots this VM may use.
 	Share(endpoint string, slots int) int
-	// TakeCold takes one of an endpoint's cold slots, which are counted over all VMs;
-	// it may ask other VMs for it.
+	// TakeCold acquires one of an endpoint's cold slots, which are counted over all VMs.
+	// It may call other VMs.
 	TakeCold(ctx context.Context, endpoint string, coldSlots int) (ColdSlot, bool)
 }
 
 // ColdSlot is the right to run one request on an endpoint in cold start.
 type ColdSlot interface {
-	// MayStart says whether the request may still be sent; ask right before its first byte.
+	// MayStart reports whether the request may still be sent. It is called right before
+	// the first byte is sent.
 	MayStart() bool
-	// Release gives the slot back. ended says that the endpoint certainly runs the
-	// request no more; otherwise the slot stays taken until it must have ended.
+	// Release returns the slot. If ended is true, the endpoint certainly no longer runs
+	// the request; otherwise the slot stays taken until the request must have ended.
 	Release(ended bool)
 }
 
-// Config sets a dispatcher.
+// Config holds a dispatcher's settings.
 type Config struct {
-	// DataCentre and Region are where this VM is.
+	// DataCentre and Region are the location of this VM.
 	DataCentre string
 	Region     string
-	// Weights are the scorers' weights. Default picker.WeightsCost.
+	// Weights are the weights of the scorers. The default is picker.WeightsCost.
 	Weights picker.Weights
-	// Slots deals the endpoints' slots; required.
+	// Slots assigns the endpoints' slots; required.
 	Slots Slots
-	// Registerer takes the metrics; required.
+	// Registerer receives the metrics; required.
 	Registerer prometheus.Registerer
-	// Seed makes choices repeatable in tests; 0 takes a random one.
+	// Seed makes choices reproducible in tests; 0 selects a random seed.
 	Seed uint64
 }
 
-// Dispatcher hands out tickets. It is safe for concurrent use.
+// Dispatcher issues tickets. It is safe for concurrent use.
 type Dispatcher struct {
 	cfg     Config
 	table   *picker.Table
@@ -59,10 +60,11 @@
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	lines     map[string]*line
+	pools     map[string]*poolState
 	endpoints map[string]*endpoint
 	centres   *datacentre.Tracker
-	// ramping are the data centres that came back and don't have their full weight yet.
+	// ramping holds the data centres that have returned to service and are still below
+	// their full weight.
 	ramping map[string]bool
 }
 
@@ -80,15 +82,15 @@
 		table:     picker.NewTable(picker.DefaultConfig(cfg.Weights)),
 		metrics:   newMetrics(cfg.Registerer),
 		rng:       rand.New(rand.NewPCG(seed, 0)),
-		lines:     make(map[string]*line),
+		pools:     make(map[string]*poolState),
 		endpoints: make(map[string]*endpoint),
 		centres:   datacentre.NewTracker(datacentre.DefaultSettings()),
 	}
 }
 
-// Run looks after waiting requests until the context ends.
+// Run calls Tick periodically until the context ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -100,21 +102,22 @@
 	}
 }
 
-// Tick refuses what can't be done any more, ends ejections and starts what fits.
+// Tick refuses waiting requests whose deadline can no longer be met, ends ejections that
+// are due and starts waiting requests for which there is capacity.
 func (d *Dispatcher) Tick(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ramp(now)
-	d.unblock(now)
-	for _, l := range d.lines {
-		for _, c := range l.detector.Due(now) {
-			d.apply(now, l, c)
+	d.updateRamps(now)
+	d.unblockColdSlots(now)
+	for _, ps := range d.pools {
+		for _, c := range ps.detector.Due(now) {
+			d.applyDetection(now, ps, c)
 		}
-		d.refresh(l, now)
+		d.refresh(ps, now)
 	}
 }
 
-// Address returns an endpoint's "ip:port"; empty for one that is not configured.
+// Address returns an endpoint's "ip:port", or "" if the endpoint is not configured.
 func (d *Dispatcher) Address(endpoint string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/dispatch/dump.go
+++ b/router/dispatch/dump.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// PoolDump is one pool in the state dump.
+// PoolDump is the state of one pool in the state dump.
 type PoolDump struct {
 	Pool      string `json:"pool"`
 	Waiting   int    `json:"waiting"`
 	Running   int    `json:"running"`
 	Capacity  int    `json:"capacity"`
 	Endpoints int    `json:"endpoints"`
-	// Quarantined is the number of requests refused because they crash what runs them.
+	// Quarantined is the number of requests that are refused because they crash the
+	// endpoints that run them.
 	Quarantined int `json:"quarantined"`
 }
 
-// EndpointDump is one endpoint in the state dump: why it gets work or not.
+// EndpointDump is the state of one endpoint in the state dump. It shows why the endpoint
+// gets work or not.
 type EndpointDump struct {
 	Endpoint    string   `json:"endpoint"`
 	DataCentre  string   `json:"dataCentre"`
@@ -38,16 +40,16 @@
 	Endpoints []EndpointDump `json:"endpoints"`
 }
 
-// Dump tells how the queues stand and why each endpoint gets work or not.
+// Dump returns the state of the queues and of each endpoint, sorted by name.
 func (d *Dispatcher) Dump() Dump {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	var out Dump
-	for name, l := range d.lines {
-		waiting, running := l.queue.Len()
+	for name, ps := range d.pools {
+		waiting, running := ps.queue.Len()
 		slots, _ := d.table.Capacity(name)
-		out.Pools = append(out.Pools, PoolDump{Pool: name, Waiting: waiting, Running: running, Capacity: slots, Endpoints: l.size, Quarantined: l.quarantined(now)})
+		out.Pools = append(out.Pools, PoolDump{Pool: name, Waiting: waiting, Running: running, Capacity: slots, Endpoints: ps.endpoints, Quarantined: ps.countQuarantined(now)})
 	}
 	for name, e := range d.endpoints {
 		b := d.bounds(e)
@@ -63,23 +65,23 @@
 	return out
 }
 
-func (l *line) quarantined(now time.Time) (n int) {
-	for _, c := range l.tracker.Counts(now) {
-		if l.tracker.Quarantined(now, c.Fingerprint) {
+func (ps *poolState) countQuarantined(now time.Time) (n int) {
+	for _, c := range ps.tracker.Counts(now) {
+		if ps.tracker.Quarantined(now, c.Fingerprint) {
 			n++
 		}
 	}
 	return n
 }
 
-// Waiting is the number of requests that wait in a pool.
+// Waiting returns the number of requests that wait in a pool.
 func (d *Dispatcher) Waiting(pool string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lines[pool]
-	if l == nil {
+	ps := d.pools[pool]
+	if ps == nil {
 		return 0
 	}
-	waiting, _ := l.queue.Len()
+	waiting, _ := ps.queue.Len()
 	return waiting
 }
--- a/router/dispatch/endpoint.go
+++ b/router/dispatch/endpoint.go
@@ -11,39 +11,40 @@
 	"goldcrestfork/policy/poison"
 )
 
-// endpoint is what is known of an endpoint beside the picker's table.
+// endpoint is the state of an endpoint that the picker's table does not hold.
 type endpoint struct {
 	spec        *config.Endpoint
 	pools       []string
 	incarnation string
 	cold        bool
-	// heard is when the words on its state that are in force were read.
-	heard time.Time
-	// down says that it can't be reached; out that operators keep work from it.
-	down, out bool
-	running   map[uint64]poison.Fingerprint
-	// detected is the detectors' decision in force.
+	// reportedAt is when the report on the endpoint's state that is in force was read.
+	reportedAt time.Time
+	// down is set while the endpoint can't be reached; outOfService is set while
+	// operators keep work from it, because it or its data centre is being taken out.
+	down, outOfService bool
+	running            map[uint64]poison.Fingerprint
+	// detected is the outlier detector's decision in force.
 	detected outlier.State
-	// answered is when each of its pools last had a good answer from it.
-	answered map[string]time.Time
-	// share is this VM's part of its warm slots.
+	// lastSuccess is, by pool, the time of the last successful answer of the endpoint.
+	lastSuccess map[string]time.Time
+	// share is the number of the endpoint's warm slots that are assigned to this VM.
 	share int
-	// granted is the number of its cold slots that this VM holds; until blocked passes
-	// no more are asked for, since none was to be had.
-	granted int
-	blocked time.Time
+	// coldHeld is the number of the endpoint's cold slots that this VM holds. No more
+	// are requested until coldBlockedUntil, since the last request for one failed.
+	coldHeld         int
+	coldBlockedUntil time.Time
 }
 
-// bounds are this VM's slots of an endpoint. In a data centre that has just come
-// back they grow over its ramp: its endpoints have empty caches, and the whole
-// load at once would meet them as a burst. In cold start they are the cold slots
-// held, and one more while it makes sense to ask for one.
+// bounds returns this VM's slots of an endpoint. In a data centre that has just returned
+// to service the warm slots grow gradually: its endpoints have empty caches, and the
+// whole load at once would reach them as a burst. The bound in cold start is the number
+// of cold slots held, plus one unless requests for cold slots are blocked.
 func (d *Dispatcher) bounds(e *endpoint) limit.Bounds {
-	now, weight, cold := time.Now(), 1.0, e.granted
+	now, weight, cold := time.Now(), 1.0, e.coldHeld
 	if d.ramping[e.spec.DataCentre] {
 		weight = d.centres.Weight(e.spec.DataCentre, now)
 	}
-	if !now.Before(e.blocked) {
+	if !now.Before(e.coldBlockedUntil) {
 		cold++
 	}
 	return limit.Bounds{
@@ -52,13 +53,15 @@
 	}
 }
 
-// otherAnswer is how recent another version's good answer must be to clear an
-// endpoint: about the time in which a detector sees the failures that condemn it.
-const otherAnswer = 5 * time.Second
+// otherPoolWindow is how recent another pool's successful answer must be to keep an
+// endpoint from being ejected. It is about the time in which a detector observes the
+// failures that lead to an ejection.
+const otherPoolWindow = 5 * time.Second
 
-// apply passes a detector's decision on to the picker. Callers hold d.mu.
-func (d *Dispatcher) apply(now time.Time, l *line, c outlier.Change) {
-	if c.State == outlier.Ejected && d.cleared(now, l.name, c.Endpoint) {
+// applyDetection applies a detector's decision to the picker's table, unless the
+// endpoint recently served another pool. Callers hold d.mu.
+func (d *Dispatcher) applyDetection(now time.Time, ps *poolState, c outlier.Change) {
+	if c.State == outlier.Ejected && d.servesOtherPool(now, ps.name, c.Endpoint) {
 		d.metrics.ejections.WithLabelValues("cleared").Inc()
 		return
 	}
@@ -72,25 +75,25 @@
 	})
 }
 
-// cleared says that an endpoint which fails one version serves another one well.
-// A version that turns bad fails on every endpoint that has it loaded; ejecting
-// them would take a third of the good version's endpoints away with it. The bad
-// version's own circuit and its roll-out deal with it.
-func (d *Dispatcher) cleared(now time.Time, pool, endpoint string) bool {
+// servesOtherPool reports whether an endpoint that fails in one pool recently answered
+// in another one. A version that turns bad fails on every endpoint that has it loaded;
+// ejecting these would also remove a third of the good version's endpoints. The bad
+// version's own circuit breaker and its roll-out handle that version instead.
+func (d *Dispatcher) servesOtherPool(now time.Time, pool, endpoint string) bool {
 	e := d.endpoints[endpoint]
 	if e == nil {
 		return false
 	}
-	for other, at := range e.answered {
-		if other != pool && now.Sub(at) < otherAnswer {
+	for other, at := range e.lastSuccess {
+		if other != pool && now.Sub(at) < otherPoolWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// setDown keeps work from an endpoint that can't be reached, until it answers the
-// question for its state. Callers hold d.mu.
+// setDown keeps work from an endpoint that can't be reached until it answers a state
+// query. Callers hold d.mu.
 func (d *Dispatcher) setDown(name string, e *endpoint, down bool) {
 	if e.down == down {
 		return
@@ -99,18 +102,18 @@
 	d.table.Update(name, func(s *picker.State) { s.Down = down })
 }
 
-// Unreachable tells that an endpoint did not answer the question for its state.
+// Unreachable records that an endpoint did not answer a state query.
 func (d *Dispatcher) Unreachable(endpoint string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.endpoints[endpoint]; e != nil {
-		e.heard = time.Now()
+		e.reportedAt = time.Now()
 		d.setDown(endpoint, e, true)
-		d.pumpAll(e, time.Now())
+		d.refreshPools(e, time.Now())
 	}
 }
 
-// setCold changes an endpoint's state of start. Callers hold d.mu.
+// setCold records whether an endpoint is in cold start. Callers hold d.mu.
 func (d *Dispatcher) setCold(name string, e *endpoint, cold bool) {
 	if e.cold == cold {
 		return
@@ -119,24 +122,25 @@
 	d.table.SetCold(name, cold)
 }
 
-// crashed blames an endpoint's crash on what ran there. Callers hold d.mu.
-func (d *Dispatcher) crashed(now time.Time, t *Ticket, e *endpoint) {
+// recordCrash blames an endpoint's crash on the requests that were in flight there.
+// Callers hold d.mu.
+func (d *Dispatcher) recordCrash(now time.Time, t *Ticket, e *endpoint) {
 	suspects := make([]poison.Fingerprint, 0, len(e.running))
 	for _, f := range e.running {
 		suspects = append(suspects, f)
 	}
 	others := max(t.picked.Report.InFlight-len(suspects), 0)
-	t.line.tracker.Crashed(now, t.Endpoint, suspects, others)
+	t.pool.tracker.Crashed(now, t.Endpoint, suspects, others)
 }
 
-// reported takes an endpoint's word on itself. Callers hold d.mu.
-func (d *Dispatcher) reported(name string, e *endpoint, r Result) {
-	if r.At.Before(e.heard) {
-		// A stream's head came when it began. Taken at its end, a head from before the
-		// endpoint started anew would call it warm and up again.
+// applyReport applies an endpoint's report on its own state. Callers hold d.mu.
+func (d *Dispatcher) applyReport(name string, e *endpoint, r Result) {
+	if r.At.Before(e.reportedAt) {
+		// A stream's result carries the report from the stream's beginning. A report from
+		// before a restart would mark the endpoint as warm and reachable again.
 		return
 	}
-	e.heard = r.At
+	e.reportedAt = r.At
 	e.incarnation = r.Incarnation
 	d.setDown(name, e, false)
 	d.setCold(name, e, r.Cold)
@@ -145,7 +149,8 @@
 	}
 }
 
-// Reported takes an endpoint's word on itself that came without a request.
+// Reported applies an endpoint's report on its own state that came without a request. A
+// report older than the one in force is ignored.
 func (d *Dispatcher) Reported(endpoint string, r Result) {
 	now := time.Now()
 	d.mu.Lock()
@@ -154,15 +159,15 @@
 	if e == nil {
 		return
 	}
-	d.reported(endpoint, e, r)
-	d.pumpAll(e, now)
+	d.applyReport(endpoint, e, r)
+	d.refreshPools(e, now)
 }
 
 // Place is an endpoint and its "ip:port".
 type Place struct{ Endpoint, Address string }
 
-// Cold returns the endpoints in cold start of which this VM has slots. Requests may
-// be too few to tell when they are warm, so somebody has to ask them.
+// Cold returns the endpoints in cold start of which this VM has slots. Their
+// state must be queried, since there may be too few requests to show when they are warm.
 func (d *Dispatcher) Cold() []Place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/dispatch/endpoint_test.go
+++ b/router/dispatch/endpoint_test.go
@@ -9,11 +9,11 @@
 	"goldcrestfork/config"
 )
 
-// A stream began while its engine was warm; the engine has started anew since and
-// said that it is cold, or does not answer at all. The stream's end comes with the
-// head of its beginning. That late word must not lift the cold limit, nor call a
-// dead engine up, or a burst of first attempts would find out one by one.
-func TestLateWordOfAnEarlierStart(t *testing.T) {
+// A stream that began on a warm engine ends after the engine has restarted and is cold
+// or unreachable. The stream's result carries the report from its beginning. This late
+// report must not lift the cold limit or mark the engine as reachable, or it would
+// receive a burst of requests.
+func TestLateReportOfEarlierIncarnationIsIgnored(t *testing.T) {
 	d := newPool()
 	ticket, bad := d.Acquire(t.Context(), &Need{
 		Account: &config.ClientAccount{}, Deadline: time.Now().Add(time.Minute), Size: 1, Pool: "v",
--- a/router/dispatch/hedge.go
+++ b/router/dispatch/hedge.go
@@ -7,25 +7,25 @@
 	"goldcrestfork/policy/retry"
 )
 
-// HedgeAfter is how long after a ticket's start a second attempt may be made beside
-// the first; see retry.HedgeAfter.
+// HedgeAfter returns how long after a ticket's start a second attempt may run in
+// parallel to the first; see retry.HedgeAfter.
 func (d *Dispatcher) HedgeAfter(t *Ticket) time.Duration {
-	expected := t.line.queue.Expected(t.need.Size)
+	expected := t.pool.queue.Expected(t.need.Size)
 	return retry.HedgeAfter(expected, t.need.Deadline.Sub(t.start))
 }
 
-// Hedge gives a ticket for a second attempt at another endpoint, if the budget has
-// it and there is room at once: a hedge never waits and never holds up a first
-// attempt. Only for requests that may be repeated.
+// Hedge returns a ticket for a second attempt at another endpoint if the retry budget
+// allows it and there is free capacity immediately: a hedge never waits and never delays
+// a first attempt. It is only for requests that may be repeated.
 func (d *Dispatcher) Hedge(first *Ticket) (*Ticket, bool) {
 	n := *first.need
 	n.tried = append(append([]string(nil), n.tried...), first.Endpoint)
-	now, l := time.Now(), first.line
+	now, ps := time.Now(), first.pool
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	v := l.budget.Decide(now, d.rng, retry.Attempt{
-		Account: n.Account.Name, Idempotent: n.Idempotent, Made: n.made, Size: n.Size,
-		Deadline: n.Deadline, Expected: l.queue.Expected(n.Size), Hedge: true,
+	v := ps.budget.Decide(now, d.rng, retry.Attempt{
+		Account: n.Account.Name, Idempotent: n.Idempotent, Made: n.attempts, Size: n.Size,
+		Deadline: n.Deadline, Expected: ps.queue.Expected(n.Size), Hedge: true,
 	})
 	d.metrics.hedges.WithLabelValues(string(v.Reason)).Inc()
 	if !v.Again {
@@ -33,25 +33,26 @@
 	}
 	it := first.item
 	it.ID, it.Value = d.nextID.Add(1), &waiter{need: &n, done: make(chan grant, 1)}
-	if offer := l.queue.Offer(now, it); offer.Outcome != admission.Run {
-		l.queue.Remove(it)
+	if offer := ps.queue.Offer(now, it); offer.Outcome != admission.Run {
+		ps.queue.Remove(it)
 		return nil, false
 	}
-	t, _ := d.pick(l, now, &n, it)
+	t, _ := d.pick(ps, now, &n, it)
 	if t == nil || t.cold {
-		// An endpoint in cold start is no place for a hedge.
-		d.drop(l, now, it, t)
+		// An endpoint in cold start would not answer sooner than the first attempt.
+		d.dropHedge(ps, now, it, t)
 		return nil, false
 	}
 	return t, true
 }
 
-// drop gives back the slots of a hedge that found no endpoint fit for it. Callers hold d.mu.
-func (d *Dispatcher) drop(l *line, now time.Time, it admission.Item, t *Ticket) {
+// dropHedge returns the slots of a hedge for which no suitable endpoint was found.
+// Callers hold d.mu.
+func (d *Dispatcher) dropHedge(ps *poolState, now time.Time, it admission.Item, t *Ticket) {
 	if t != nil {
-		d.table.Done(now, t.picked, t.request, unused)
+		d.table.Done(now, t.picked, t.request, unusedSample)
 		delete(d.endpoints[t.Endpoint].running, it.ID)
 	}
-	l.queue.Done(now, it, 0, 0)
-	d.refresh(l, now)
+	ps.queue.Done(now, it, 0, 0)
+	d.refresh(ps, now)
 }
--- a/router/dispatch/line.go
+++ b/router/dispatch/line.go
@@ -13,124 +13,130 @@
 	"goldcrestfork/router/refusal"
 )
 
-// line is the queue and the budgets of one pool.
-type line struct {
-	name     string
-	queue    *admission.Queue
-	detector *outlier.Detector
-	budget   *retry.Budget
-	tracker  *poison.Tracker
-	size     int // endpoints
+// poolState is the queue, the outlier detector, the retry budget and the poison tracker
+// of one pool.
+type poolState struct {
+	name      string
+	queue     *admission.Queue
+	detector  *outlier.Detector
+	budget    *retry.Budget
+	tracker   *poison.Tracker
+	endpoints int // number of endpoints
 }
 
-// waiter is a request in a queue; its channel takes exactly one grant, without blocking.
+// waiter is a request in a queue. Its channel has room for the one grant that it
+// receives, so sending never blocks.
 type waiter struct {
 	need *Need
 	done chan grant
 }
 
-// grant is a ticket or a final refusal.
+// grant is the end of a request's wait: a ticket or a final refusal.
 type grant struct {
 	ticket  *Ticket
 	refusal *refusal.Refusal
 }
 
-// offer puts a request into its queue, or refuses it.
-func (d *Dispatcher) offer(now time.Time, n *Need, it admission.Item) (*line, *refusal.Refusal) {
+// enqueue offers a request to the queue of its pool, or refuses it.
+func (d *Dispatcher) enqueue(now time.Time, n *Need, it admission.Item) (*poolState, *refusal.Refusal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.lines[n.Pool]
-	if l == nil {
+	ps := d.pools[n.Pool]
+	if ps == nil {
 		return nil, refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", n.Pool)
 	}
-	if l.tracker.Quarantined(now, n.Fingerprint) {
+	if ps.tracker.Quarantined(now, n.Fingerprint) {
 		d.metrics.quarantined.Inc()
 		return nil, refusal.New(http.StatusUnprocessableEntity, refusal.Quarantined, "this request crashed the endpoints that ran it")
 	}
-	if l.detector.Broken(now) {
-		return nil, d.refusal(admission.ReasonBroken, l.queue.RetryAfter(now, it, admission.ReasonBroken))
+	if ps.detector.Broken(now) {
+		return nil, d.admissionRefusal(admission.ReasonBroken, ps.queue.RetryAfter(now, it, admission.ReasonBroken))
 	}
-	v := l.queue.Offer(now, it)
+	v := ps.queue.Offer(now, it)
 	switch v.Outcome {
 	case admission.Refused:
-		return nil, d.refusal(v.Reason, v.RetryAfter)
+		return nil, d.admissionRefusal(v.Reason, v.RetryAfter)
 	case admission.Run:
-		d.start(l, now, it)
+		d.assign(ps, now, it)
 	}
-	d.answerRefused(l, now)
-	return l, nil
+	d.deliverRefusals(ps, now)
+	return ps, nil
 }
 
-// start gives an item that holds a slot its endpoint, or its final refusal; false
-// when neither is to be had and it waits on at its place. Callers hold d.mu.
-func (d *Dispatcher) start(l *line, now time.Time, it admission.Item) bool {
+// assign picks an endpoint for an item that holds a queue slot, and sends the item's
+// waiter its ticket or a final refusal. It returns false if the item goes back to its
+// place in the queue. Callers hold d.mu.
+func (d *Dispatcher) assign(ps *poolState, now time.Time, it admission.Item) bool {
 	w := it.Value.(*waiter)
-	t, miss := d.pick(l, now, w.need, it)
+	t, miss := d.pick(ps, now, w.need, it)
 	if t != nil {
 		w.done <- grant{ticket: t}
 		return true
 	}
-	if bad := d.missed(l, w.need, miss); bad != nil {
-		l.queue.Done(now, it, 0, 0)
+	if bad := d.missRefusal(ps, w.need, miss); bad != nil {
+		ps.queue.Done(now, it, 0, 0)
 		w.done <- grant{refusal: bad}
 		return true
 	}
-	l.queue.PutBack(now, it)
+	ps.queue.PutBack(now, it)
 	return false
 }
 
-// pump starts waiting requests while there is room. Callers hold d.mu.
-func (d *Dispatcher) pump(l *line, now time.Time) {
+// startWaiting starts waiting requests while there is capacity. Callers hold d.mu.
+func (d *Dispatcher) startWaiting(ps *poolState, now time.Time) {
 	for {
-		it, ok := l.queue.Next(now)
-		if !ok || !d.start(l, now, it) {
+		it, ok := ps.queue.Next(now)
+		if !ok || !d.assign(ps, now, it) {
 			break
 		}
 	}
-	d.answerRefused(l, now)
+	d.deliverRefusals(ps, now)
 }
 
-// pumpAll starts what fits in the pools of an endpoint. Callers hold d.mu.
-func (d *Dispatcher) pumpAll(e *endpoint, now time.Time) {
+// refreshPools refreshes each pool of an endpoint. Callers hold d.mu.
+func (d *Dispatcher) refreshPools(e *endpoint, now time.Time) {
 	for _, pool := range e.pools {
-		if l := d.lines[pool]; l != nil {
-			d.refresh(l, now)
+		if ps := d.pools[pool]; ps != nil {
+			d.refresh(ps, now)
 		}
 	}
 }
 
-// refresh sets a line's capacity and starts what fits. Callers hold d.mu.
-func (d *Dispatcher) refresh(l *line, now time.Time) {
-	slots, _ := d.table.Capacity(l.name)
-	if slots == 0 && d.coldLater(l.name) {
+// refresh updates a pool's capacity and starts the waiting requests that fit. Callers
+// hold d.mu.
+func (d *Dispatcher) refresh(ps *poolState, now time.Time) {
+	slots, _ := d.table.Capacity(ps.name)
+	if slots == 0 && d.hasColdEndpoint(ps.name) {
 		slots = 1
 	}
-	l.queue.SetCapacity(now, slots)
-	d.pump(l, now)
+	ps.queue.SetCapacity(now, slots)
+	d.startWaiting(ps, now)
 }
 
-// coldLater says that a pool without room has an endpoint in cold start whose slots
-// are other VMs' for the moment. Taken for a pool without endpoints, its requests
-// would be refused, although waiting is what helps.
-func (d *Dispatcher) coldLater(pool string) bool {
+// hasColdEndpoint reports whether a pool has an endpoint in cold start that takes work.
+// Such a pool may have no capacity on this VM because other VMs hold the cold slots at
+// the moment. If it were treated as a pool without endpoints, its requests would be
+// refused although waiting helps.
+func (d *Dispatcher) hasColdEndpoint(pool string) bool {
 	for _, e := range d.endpoints {
-		if e.cold && !e.down && !e.out && slices.Contains(e.pools, pool) {
+		if e.cold && !e.down && !e.outOfService && slices.Contains(e.pools, pool) {
 			return true
 		}
 	}
 	return false
 }
 
-// answerRefused gives the queue's final answers at once. Callers hold d.mu.
-func (d *Dispatcher) answerRefused(l *line, now time.Time) {
-	for _, r := range l.queue.Refused(now) {
+// deliverRefusals sends the queue's pending refusals to their waiters. Callers hold
+// d.mu.
+func (d *Dispatcher) deliverRefusals(ps *poolState, now time.Time) {
+	for _, r := range ps.queue.Refused(now) {
 		w := r.Item.Value.(*waiter)
-		w.done <- grant{refusal: d.refusal(r.Reason, r.RetryAfter)}
+		w.done <- grant{refusal: d.admissionRefusal(r.Reason, r.RetryAfter)}
 	}
 }
 
-// refusal turns an admission's reason into the caller's answer.
-func (d *Dispatcher) refusal(reason admission.Reason, after time.Duration) *refusal.Refusal {
+// admissionRefusal converts a reason of package admission into the caller's answer.
+func (d *Dispatcher) admissionRefusal(reason admission.Reason, after time.Duration) *refusal.Refusal {
 	d.metrics.refused.WithLabelValues(string(reason)).Inc()
 	switch reason {
 	case admission.ReasonDeadline:
@@ -144,16 +150,16 @@
 	}
 }
 
-// missed is the final answer to a request for which nothing was picked, or nil
-// when waiting helps.
-func (d *Dispatcher) missed(l *line, n *Need, miss picker.Miss) *refusal.Refusal {
+// missRefusal returns the final answer to a request for which no endpoint was picked, or
+// nil if waiting helps.
+func (d *Dispatcher) missRefusal(ps *poolState, n *Need, miss picker.Miss) *refusal.Refusal {
 	switch {
-	case n.Only != "" && miss != picker.MissFull:
+	case n.OnlyEndpoint != "" && miss != picker.MissFull:
 		return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "the endpoint that holds the stream takes no work").WhichRan(refusal.DidRun)
 	case miss == picker.MissUnknown:
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", l.name)
-	case miss == picker.MissFiltered && len(n.tried) >= l.size:
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "all endpoints of %s were tried", l.name).After(time.Second)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", ps.name)
+	case miss == picker.MissFiltered && len(n.tried) >= ps.endpoints:
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "all endpoints of %s were tried", ps.name).After(time.Second)
 	}
 	return nil
 }
--- a/router/dispatch/metrics.go
+++ b/router/dispatch/metrics.go
@@ -28,11 +28,11 @@
 		}, []string{"reason"}),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_retries_total",
-			Help: "Decisions after a failed attempt; an empty reason means that it was made again.",
+			Help: "Decisions after a failed attempt; an empty reason means that the attempt was repeated.",
 		}, []string{"refused_for"}),
 		hedges: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_hedges_total",
-			Help: "Decisions on a second attempt beside a slow one; an empty reason means that the budget had it.",
+			Help: "Decisions on a second attempt in parallel to a slow one; an empty reason means that the budget allowed it.",
 		}, []string{"refused_for"}),
 		ejections: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_endpoint_states_total",
--- a/router/dispatch/need.go
+++ b/router/dispatch/need.go
@@ -7,39 +7,47 @@
 	"goldcrestfork/policy/poison"
 )
 
-// Need is what a request needs of an endpoint.
+// Need holds what a request requires of an endpoint. It carries state from attempt to
+// attempt and belongs to one request.
 type Need struct {
-	// RequestID names the request in the state dump.
+	// RequestID is the request's id in the state dump.
 	RequestID string
 	// Account is the caller's client account.
 	Account *config.ClientAccount
 	// Class is the request's priority class.
 	Class config.Class
-	// Deadline is when the answer is worth nothing any more.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Time
-	// Size is the expected work, in output tokens; a plain call counts as one.
+	// Size is the expected work, in output tokens; a call of a plain service counts as
+	// one.
 	Size float64
-	// Pool is the model version, or ServicePool of a service.
+	// Pool is the model version, or the ServicePool of a service.
 	Pool string
 	// Prefix are the hashes of the prompt's leading blocks; see picker.Request.
 	Prefix []uint64
-	// Fingerprint tells a request that crashes endpoints by what it asks.
+	// Fingerprint is a hash of the request's content, by which requests that crash
+	// endpoints are recognised.
 	Fingerprint poison.Fingerprint
 	// Idempotent requests may be attempted again after bytes were sent.
 	Idempotent bool
-	// Only binds the next attempt to one endpoint, which holds the stream to resume; empty for any.
-	Only string
+	// OnlyEndpoint binds the next attempt to the endpoint that holds the stream to
+	// resume; empty for any endpoint.
+	OnlyEndpoint string
 
-	tried   []string
-	resumed string
-	made    int
-	paid    bool
+	// tried holds the endpoints that the next attempt must avoid, resumedOn is the
+	// endpoint on which a cut stream was last resumed, attempts counts the attempts, and
+	// counted is set once the request has been added to the retry budget.
+	tried     []string
+	resumedOn string
+	attempts  int
+	counted   bool
 }
 
-// ServicePool is the pool of a plain service. No version's name holds a '/'.
+// ServicePool returns the pool name of a plain service. It can't collide with a model
+// version, whose name holds no '/'.
 func ServicePool(service string) string { return "service/" + service }
 
-// weightOf applies the default weight of one.
+// weightOf returns an account's weight; the default is one.
 func weightOf(a *config.ClientAccount) float64 {
 	if a.Weight > 0 {
 		return a.Weight
--- a/router/dispatch/poison.go
+++ b/router/dispatch/poison.go
@@ -6,32 +6,32 @@
 	"goldcrestfork/policy/poison"
 )
 
-// PoisonNews returns what is held against requests whose last crash was at most
-// news ago, by pool, at most most of them.
-func (d *Dispatcher) PoisonNews(news time.Duration, most int) map[string][]poison.Count {
+// PoisonNews returns, by pool, the blame of requests whose last crash was at most maxAge
+// ago. It returns at most limit counts in total.
+func (d *Dispatcher) PoisonNews(maxAge time.Duration, limit int) map[string][]poison.Count {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string][]poison.Count)
-	for name, l := range d.lines {
-		for _, c := range l.tracker.Counts(now) {
-			if c.Age <= news && most > 0 {
+	for name, ps := range d.pools {
+		for _, c := range ps.tracker.Counts(now) {
+			if c.Age <= maxAge && limit > 0 {
 				out[name] = append(out[name], c)
-				most--
+				limit--
 			}
 		}
 	}
 	return out
 }
 
-// MergePoison takes another VM's word.
-func (d *Dispatcher) MergePoison(news map[string][]poison.Count) {
+// MergePoison merges the counts that another VM sent.
+func (d *Dispatcher) MergePoison(counts map[string][]poison.Count) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for name, counts := range news {
-		if l := d.lines[name]; l != nil {
-			l.tracker.Merge(now, counts)
+	for name, counts := range counts {
+		if ps := d.pools[name]; ps != nil {
+			ps.tracker.Merge(now, counts)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 // fullLoad is the load, in thousandths, of a VM whose slots are all in use.
 const fullLoad = 1000
 
-// Load is this VM's use of the slots dealt to it, in thousandths.
+// Load returns this VM's use of the slots assigned to it, in thousandths.
 func (d *Dispatcher) Load() uint16 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/dispatch/poison_test.go
+++ b/router/dispatch/poison_test.go
@@ -13,15 +13,15 @@
 	"goldcrestfork/policy/poison"
 )
 
-// all gives this VM every slot.
-type all struct{}
+// allSlots assigns every warm slot to this VM.
+type allSlots struct{}
 
-func (all) Share(_ string, slots int) int                          { return slots }
-func (all) TakeCold(context.Context, string, int) (ColdSlot, bool) { return nil, false }
+func (allSlots) Share(_ string, slots int) int                          { return slots }
+func (allSlots) TakeCold(context.Context, string, int) (ColdSlot, bool) { return nil, false }
 
-// newPool returns a dispatcher before two engines of version v.
+// newPool returns a dispatcher with two engines of version v.
 func newPool() *Dispatcher {
-	d := New(Config{DataCentre: "a", Slots: all{}, Registerer: prometheus.NewRegistry(), Seed: 1})
+	d := New(Config{DataCentre: "a", Slots: allSlots{}, Registerer: prometheus.NewRegistry(), Seed: 1})
 	s := &config.Snapshot{
 		Revision:    1,
 		DataCentres: map[string]*config.DataCentre{"a": {State: config.DataCentreIn}},
@@ -37,13 +37,13 @@
 	return d
 }
 
-// An endpoint crashes under a request. Both VMs pass what they know on each second,
-// with 50 ms on the way, by which it looks younger on arrival than it is. They must
-// come to the same, and the word must die out: a record that each passes back to the
-// other for ever would hold a mended engine's requests in quarantine.
-func TestBlameIsPassedOnAndDiesOut(t *testing.T) {
+// Two VMs exchange the blame for a crash each second with a delay of 50 ms, so a count
+// looks younger on arrival than it is. The VMs must reach the same counts, and the
+// exchange must end: counts that are passed back and forth forever would keep the
+// requests of a repaired engine in quarantine.
+func TestExchangedBlameConvergesAndExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const news, most = 15 * time.Second, 8
+		const maxAge, limit = 15 * time.Second, 8
 		vms := []*Dispatcher{newPool(), newPool()}
 		ticket, bad := vms[0].Acquire(t.Context(), &Need{
 			Account: &config.ClientAccount{}, Deadline: time.Now().Add(time.Minute), Size: 1, Pool: "v", Fingerprint: 7,
@@ -52,21 +52,21 @@
 		ticket.Done(Result{Crashed: true, Running: -1})
 		for range 20 {
 			for i, vm := range vms {
-				word := vm.PoisonNews(news, most)
+				counts := vm.PoisonNews(maxAge, limit)
 				time.Sleep(50 * time.Millisecond)
-				vms[1-i].MergePoison(word)
+				vms[1-i].MergePoison(counts)
 			}
 			time.Sleep(time.Second)
 		}
-		blame := func(d *Dispatcher) poison.Count { return d.PoisonNews(time.Hour, most)["v"][0] }
+		blame := func(d *Dispatcher) poison.Count { return d.PoisonNews(time.Hour, limit)["v"][0] }
 		require.Equal(t, blame(vms[0]).Blame, blame(vms[1]).Blame)
 		require.Contains(t, blame(vms[1]).Blame, ticket.Endpoint)
 		for _, vm := range vms {
-			require.Empty(t, vm.PoisonNews(news, most))
+			require.Empty(t, vm.PoisonNews(maxAge, limit))
 		}
 		time.Sleep(11 * time.Minute)
 		for _, vm := range vms {
-			require.Empty(t, vm.PoisonNews(time.Hour, most))
+			require.Empty(t, vm.PoisonNews(time.Hour, limit))
 		}
 	})
 }
--- a/router/dispatch/ticket.go
+++ b/router/dispatch/ticket.go
@@ -12,17 +12,17 @@
 	"goldcrestfork/router/refusal"
 )
 
-// Ticket is the right to send one request to one endpoint once. Exactly one of
-// Done and Cancel must be called.
+// Ticket is the permission to send one request to one endpoint once. Exactly one of Done
+// and Cancel must be called.
 type Ticket struct {
-	// Endpoint and Address say where.
+	// Endpoint is the name of the endpoint; Address is its "ip:port".
 	Endpoint string
 	Address  string
 	// Cold is the endpoint's cold slot that the ticket holds; nil for a warm endpoint.
 	Cold ColdSlot
 
 	d       *Dispatcher
-	line    *line
+	pool    *poolState
 	need    *Need
 	item    admission.Item
 	picked  *picker.Endpoint
@@ -31,9 +31,9 @@
 	cold    bool
 }
 
-// Acquire waits for an endpoint. It returns a refusal that is final: queued
-// requests that can't be done by their deadline are told so at once, with when to
-// come back.
+// Acquire waits for an endpoint. A refusal that it returns is final. A queued request
+// that can't be completed by its deadline is refused at once, with the delay after which
+// a retry helps.
 func (d *Dispatcher) Acquire(ctx context.Context, n *Need) (*Ticket, *refusal.Refusal) {
 	now := time.Now()
 	w := &waiter{need: n, done: make(chan grant, 1)}
@@ -46,7 +46,7 @@
 		Deadline: n.Deadline,
 		Size:     n.Size,
 	}
-	l, bad := d.offer(now, n, it)
+	ps, bad := d.enqueue(now, n, it)
 	if bad != nil {
 		return nil, bad
 	}
@@ -56,15 +56,16 @@
 			if g.ticket == nil || !g.ticket.cold || d.takeCold(ctx, g.ticket) {
 				return g.ticket, g.refusal
 			}
-			// No cold slot was to be had; the request waits at its place.
-			g.ticket.putBack()
+			// No cold slot was available; the request keeps its place in the queue.
+			g.ticket.requeue()
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	if !l.queue.Remove(it) {
-		// It was granted or refused at the same moment; a granted slot goes back.
+	if !ps.queue.Remove(it) {
+		// The request was granted or refused at the same moment; a granted slot is
+		// returned.
 		if g := <-w.done; g.ticket != nil {
 			g.ticket.Cancel()
 		}
@@ -73,14 +74,14 @@
 }
 
 // pick chooses the endpoint and takes its slots. Callers hold d.mu.
-func (d *Dispatcher) pick(l *line, now time.Time, n *Need, it admission.Item) (*Ticket, picker.Miss) {
+func (d *Dispatcher) pick(ps *poolState, now time.Time, n *Need, it admission.Item) (*Ticket, picker.Miss) {
 	r := &picker.Request{
 		Pool:    n.Pool,
 		Prefix:  n.Prefix,
 		Exclude: n.tried,
-		Only:    n.Only,
+		Only:    n.OnlyEndpoint,
 		Probe:   n.Idempotent,
-		Suspect: l.tracker.Suspect(now, n.Fingerprint),
+		Suspect: ps.tracker.Suspect(now, n.Fingerprint),
 	}
 	p, miss := d.table.Pick(now, d.rng, r)
 	if p == nil {
@@ -89,23 +90,23 @@
 	e := d.endpoints[p.Name]
 	t := &Ticket{
 		Endpoint: p.Name, Address: e.spec.Address, cold: e.cold,
-		d: d, line: l, need: n, item: it, picked: p, request: r, start: now,
+		d: d, pool: ps, need: n, item: it, picked: p, request: r, start: now,
 	}
 	e.running[it.ID] = n.Fingerprint
-	n.made++
-	if !n.paid {
-		// Refused requests pay nothing in: in an overload they would fill the budget
-		// for retries that the endpoints have no room for.
-		n.paid = true
-		l.budget.First(it.Account, n.Size)
+	n.attempts++
+	if !n.counted {
+		// Only started requests add to the retry budget: in an overload, refused ones
+		// would fill it with retries for which the endpoints have no capacity.
+		n.counted = true
+		ps.budget.First(it.Account, n.Size)
 	}
 	return t, picker.Picked
 }
 
-// Cancel gives a ticket back that was not used.
+// Cancel returns a ticket that was not used.
 func (t *Ticket) Cancel() { t.release(Result{Running: -1}, false) }
 
-// Done gives a ticket back with what the attempt told.
+// Done returns a ticket with the result of its attempt.
 func (t *Ticket) Done(r Result) { t.release(r, true) }
 
 func (t *Ticket) release(r Result, used bool) {
@@ -120,8 +121,8 @@
 	bad := r.Failed || r.Crashed || r.Unreached || r.Abandoned
 	size := t.need.Size
 	if r.Work > 0 {
-		// By what the answer took, not by what was expected of it: a short answer to a
-		// request with a high bound is no sign of a fast endpoint.
+		// The sample uses the work that the answer took, not the expected work: a short
+		// answer to a request with a high max_tokens does not indicate a fast endpoint.
 		size = r.Work
 	}
 	d.table.Done(now, t.picked, t.request, limit.Sample{
@@ -131,76 +132,79 @@
 	if bad || r.Refused || !used {
 		elapsed = 0
 	}
-	t.line.queue.Done(now, t.item, elapsed, r.Work)
+	t.pool.queue.Done(now, t.item, elapsed, r.Work)
 	if used {
-		t.learn(now, r)
+		t.recordResult(now, r)
 	}
 	if e := d.endpoints[t.Endpoint]; e != nil {
 		delete(e.running, t.item.ID)
 		if t.Cold != nil {
-			e.granted--
+			e.coldHeld--
 			d.table.SetBounds(t.Endpoint, d.bounds(e))
 		}
-		d.pumpAll(e, now)
+		d.refreshPools(e, now)
 	}
 }
 
-// Result is what an attempt tells about its endpoint.
+// Result is what an attempt shows about its endpoint.
 type Result struct {
-	// Failed: the endpoint did not give the answer it should have.
+	// Failed is set if the endpoint did not give the answer that it should have.
 	Failed bool
-	// Refused: the endpoint said it was full.
+	// Refused is set if the endpoint reported that it is at capacity.
 	Refused bool
-	// Crashed: the connection broke in a way that a crash of the endpoint explains.
+	// Crashed is set if the connection broke in a way that a crash of the endpoint
+	// explains.
 	Crashed bool
-	// Unreached: the connect failed.
+	// Unreached is set if the connection could not be made.
 	Unreached bool
-	// Abandoned: the caller left or its deadline passed before the end, which tells
-	// nothing of the endpoint either way.
+	// Abandoned is set if the caller disconnected or its deadline passed before the end,
+	// which shows nothing about the endpoint.
 	Abandoned bool
-	// Incarnation and Cold are the endpoint's own words, when Reported.
+	// Incarnation and Cold are the endpoint's own report; they are valid if Reported is
+	// set.
 	Reported    bool
 	Incarnation string
 	Cold        bool
-	// Running is the endpoint's number of requests; -1 when it didn't say.
+	// Running is the endpoint's number of running requests; -1 if it was not reported.
 	Running int
-	// At is when these words were read.
+	// At is when the report was read.
 	At time.Time
-	// Ended: the endpoint certainly runs the request no more.
+	// Ended is set if the endpoint certainly no longer runs the request.
 	Ended bool
-	// Work is what the request took, 0 if not known.
+	// Work is the work that the request took, in the units of Need.Size; 0 if unknown.
 	Work float64
 }
 
-// learn passes on what an attempt told about its endpoint. Callers hold d.mu.
-func (t *Ticket) learn(now time.Time, r Result) {
+// recordResult updates the endpoint's state and the pool's statistics with the result of
+// an attempt. Callers hold d.mu.
+func (t *Ticket) recordResult(now time.Time, r Result) {
 	d, e := t.d, t.d.endpoints[t.Endpoint]
 	if e == nil {
 		return
 	}
 	if r.Reported {
-		d.reported(t.Endpoint, e, r)
+		d.applyReport(t.Endpoint, e, r)
 	}
 	if r.Abandoned {
 		return
 	}
 	if !r.Refused {
 		bad := r.Failed || r.Crashed || r.Unreached
-		c, changed := t.line.detector.Record(now, outlier.Result{Endpoint: t.Endpoint, Failed: bad})
+		c, changed := t.pool.detector.Record(now, outlier.Result{Endpoint: t.Endpoint, Failed: bad})
 		if changed {
-			d.apply(now, t.line, c)
+			d.applyDetection(now, t.pool, c)
 		}
 	}
 	if r.Crashed {
-		d.crashed(now, t, e)
+		d.recordCrash(now, t, e)
 	} else if !r.Failed && !r.Refused && !r.Unreached {
-		e.answered[t.line.name] = now
-		t.line.tracker.Survived(t.need.Fingerprint)
+		e.lastSuccess[t.pool.name] = now
+		t.pool.tracker.Survived(t.need.Fingerprint)
 	}
 	if (r.Crashed || r.Unreached) && e.spec.Service == "" {
-		// What comes back on this address has started anew: until it says otherwise
-		// it bears no more than an endpoint in cold start.
-		e.heard = now
+		// The process that next answers on this address is a new one. Until it reports
+		// its state it gets no more than an endpoint in cold start.
+		e.reportedAt = now
 		d.setCold(t.Endpoint, e, true)
 	}
 	if r.Unreached && e.spec.Service == "" {
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -151,7 +151,7 @@
 		Idempotent:  c.Key == "",
 	}
 	if c.resume != nil {
-		n.Only = c.resume.Endpoint
+		n.OnlyEndpoint = c.resume.Endpoint
 	}
 	return n
 }
@@ -258,10 +258,10 @@
 			return fin.with(gone(ctx, fin.stream))
 		}
 		fin = fin.with(failure(o, fin.stream))
-		after, again := e.dispatch.Again(n, t, dispatch.Failure{
+		after, again := e.dispatch.DecideRetry(n, t, dispatch.Failure{
 			NotRun:    notRun(o.Result),
 			Resumable: o.Result == engine.Cut,
-			Done:      float64(fin.stream.Next),
+			DoneWork:  float64(fin.stream.Next),
 			NotSent:   o.Result == engine.NotSent,
 			Cold:      o.Result == engine.Cold,
 		})
--- a/router/entry/plain.go
+++ b/router/entry/plain.go
@@ -127,7 +127,7 @@
 			bad.Code, bad.RetryAfter = refusal.OutcomeUnknown, 0
 			return service.Answer{}, bad
 		}
-		after, again := e.dispatch.Again(n, t, dispatch.Failure{NotSent: result == service.NotSent})
+		after, again := e.dispatch.DecideRetry(n, t, dispatch.Failure{NotSent: result == service.NotSent})
 		if !again || !sleep(ctx, after) {
 			return service.Answer{}, bad
 		}
