--- a/router/engine/client.go
+++ b/router/engine/client.go
@@ -1,7 +1,8 @@
-// Package engine is the client of model engines. It makes whole answers out of
-// streams that may come late, doubled, crossed with another request's, cut, or
-// from a version that was not asked for. Whatever it passes on is the next token
-// of the right request; a stream counts as complete only at its end mark.
+// Package engine is the client of model engines. It assembles complete answers from
+// streams whose frames may be late, duplicated, mixed with another request's or missing,
+// and that may come from another version than requested. Every frame that it passes on
+// is the next one of the right request; a stream counts as complete only at its end
+// marker.
 package engine
 
 import (
@@ -20,106 +21,113 @@
 )
 
 const (
-	// DialTimeout bounds the connect to an endpoint. Grounds: endpoints are in the
-	// same or a close data centre (brief); a second is many round trips.
+	// DialTimeout bounds the connect to an endpoint. Endpoints are in the same or a
+	// nearby data centre, so a second covers many round trips.
 	DialTimeout = time.Second
-	// ColdTimeLimit is how long an endpoint in cold start may run a request; it ends
-	// the request by itself then. Cold slots are reckoned by it (slot.Defaults.Job).
+	// ColdTimeLimit is how long an endpoint in cold start may run a request; the
+	// endpoint ends the request itself after that time. The accounting of cold slots
+	// relies on it (slot.Defaults.Job).
 	ColdTimeLimit = time.Minute
-	// maxFrame bounds one event, in bytes; a token's frame takes some hundred.
-	maxFrame = 256 << 10
-	// connBuffer is each buffer of a connection, in bytes. A token's frame takes some
-	// 200; net/http's 4 KB would stand half empty in each open stream.
-	connBuffer = 1 << 10
-	// idlePerHost keeps connections to one endpoint open between requests; an endpoint bears a few dozen at once.
+	// maxFrameBytes bounds one event. A token's frame takes some hundred bytes.
+	maxFrameBytes = 256 << 10
+	// connBufferBytes is the size of each of a connection's buffers. A token's frame
+	// takes some 200 bytes; most of net/http's 4 KB would be unused in each open stream.
+	connBufferBytes = 1 << 10
+	// idlePerHost is the number of idle connections kept per endpoint; an endpoint runs
+	// a few dozen requests at once.
 	idlePerHost = 64
-	// StallTimeout ends an attempt whose next token does not come. Grounds: the
-	// letter asks for the first token within 1.1 s and 42 ms between tokens at p95;
-	// ten times the former is no slowness but a fault.
+	// StallTimeout ends an attempt whose next token does not arrive. At p95 the targets
+	// are 1.1 s to the first token and 42 ms between tokens; ten times the former
+	// indicates a fault rather than slowness.
 	StallTimeout = 11 * time.Second
-	// idleTimeout closes an unused connection.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 90 * time.Second
 )
 
 // Call is one attempt of one request at one endpoint.
 type Call struct {
-	// RequestID is the same over all attempts; frames must carry it.
+	// RequestID is the same for all attempts; frames must carry it.
 	RequestID string
 	// Address is the endpoint's "ip:port".
 	Address string
 	// Version is the model version that must answer.
 	Version string
-	// Class is the priority class the engine is told.
+	// Class is the priority class sent to the engine.
 	Class int
-	// MayStart is set when the caller holds one of the endpoint's cold slots, and says
-	// whether it still does; it is asked right before the first byte.
+	// MayStart is set if the caller holds one of the endpoint's cold slots. It reports
+	// whether the slot is still held and is called right before the first byte is sent.
 	MayStart func() bool
 	// Body is the caller's request.
 	Body *Body
 }
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result int
 
-// How an attempt may end.
+// The results of an attempt.
 const (
-	// Complete: end mark received, every token passed on.
+	// Complete: the end marker arrived and every token was passed on.
 	Complete Result = iota
-	// NotSent: the connect failed; no byte of the request left.
+	// NotSent: the connect failed; no byte of the request was sent.
 	NotSent
-	// Refused: the endpoint says that it did not run the request.
+	// Refused: the endpoint answered that it did not run the request.
 	Refused
 	// Failed: the endpoint answered with an error.
 	Failed
-	// Crashed: the connection broke before the answer's head; the request may have broken the endpoint.
+	// Crashed: the connection broke before the answer's headers; the request may have
+	// crashed the endpoint.
 	Crashed
 	// WrongVersion: the endpoint answered as another version; nothing was passed on.
 	WrongVersion
-	// Cut: the stream ended without its end mark, or left out a token.
+	// Cut: the stream ended without its end marker, or a token is missing.
 	Cut
 	// Forgotten: the endpoint can't resume this stream.
 	Forgotten
-	// Cold: the endpoint is in cold start and the call held none of its cold slots; no byte left.
+	// Cold: the endpoint is in cold start and the call held none of its cold slots; no
+	// byte was sent.
 	Cold
-	// CallerGone: the caller left or its deadline passed; the engine's work was cancelled.
+	// CallerGone: the caller disconnected or its deadline passed; the engine's work was
+	// cancelled.
 	CallerGone
 )
 
 var resultNames = [...]string{"complete", "not-sent", "refused", "failed", "crashed", "wrong-version", "cut", "forgotten", "cold", "caller-gone"}
 
-// String is the metrics label.
+// String returns the result's value of the metrics label.
 func (r Result) String() string { return resultNames[r] }
 
-// Report is what an endpoint says of itself with each answer.
+// Report is an endpoint's state as it reports it in the headers of each answer.
 type Report struct {
-	// Incarnation changes when the endpoint starts anew.
+	// Incarnation changes when the endpoint restarts.
 	Incarnation string
-	// Cold says that it is in cold start.
+	// Cold is set if the endpoint is in cold start.
 	Cold bool
-	// Running is its number of requests, as it saw it then; -1 when it didn't say.
+	// Running is the number of requests that the endpoint was running; -1 if not
+	// reported.
 	Running int
-	// At is when it was read here: a stream ends long after its head came.
+	// At is when the report was read by this process. A stream ends long after its
+	// headers arrived, so the report may be old by then.
 	At time.Time
 }
 
-// Outcome is the end of one attempt.
+// Outcome is the result of one attempt with its details.
 type Outcome struct {
 	Result Result
-	// Err tells more for the log and the caller's detail.
+	// Err holds details for the log and for the detail sent to the caller.
 	Err error
-	// RetryAfter is when the endpoint says coming back helps.
+	// RetryAfter is the delay after which the endpoint says that a retry helps.
 	RetryAfter time.Duration
-	// Report is valid when Reported is set.
+	// Report is valid if Reported is set.
 	Report   Report
 	Reported bool
-	// FirstToken is the time from the call to the first token; 0 when none came.
+	// FirstToken is the time from the call to the first token; 0 if none arrived.
 	FirstToken time.Duration
 }
 
-// Client calls engines.
+// Client calls engines. It is safe for concurrent use.
 type Client struct {
-	// warm keeps connections to endpoints that were warm when they were made; cold
-	// makes one for each request.
+	// warm reuses connections to endpoints that were warm when the connections were
+	// made; cold makes one connection per request.
 	warm, cold *http.Client
 	dialer     *warmDialer
 	metrics    *Metrics
@@ -132,12 +140,12 @@
 		metrics: m,
 		dialer:  dialer,
 		warm: &http.Client{Transport: &http.Transport{
-			DialContext:         dialer.dial,
+			DialContext:         dialer.dialWarm,
 			MaxIdleConnsPerHost: idlePerHost,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
-			ReadBufferSize:      connBuffer,
-			WriteBufferSize:     connBuffer,
+			ReadBufferSize:      connBufferBytes,
+			WriteBufferSize:     connBufferBytes,
 		}},
 		cold: &http.Client{Transport: &http.Transport{
 			DialContext:        dialer.dialCold,
@@ -147,20 +155,19 @@
 	}
 }
 
-// Close drops unused connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.warm.CloseIdleConnections() }
 
-// Stream runs one attempt and hands each new token of s to emit; an error of
-// emit means that the caller has gone. s carries over from attempt to attempt,
-// so that a resumed stream neither loses nor repeats a token.
+// Stream runs one attempt and passes each new frame of s to emit; an error of emit means
+// that the caller disconnected. s is kept from attempt to attempt, so that a resumed
+// stream neither loses nor repeats a token.
 func (c *Client) Stream(ctx context.Context, call Call, s *Stream, emit func(Frame) error) Outcome {
 	attempt, cancel := context.WithCancel(ctx)
-	// Leaving this function cancels the engine's work: an engine must not go on
-	// generating for a caller that has gone.
+	// Returning cancels the engine's work: an engine must not continue to generate for a
+	// caller that has disconnected.
 	defer cancel()
-	// A hung endpoint keeps the connection open and sends nothing; without the
-	// watchdog its caller would wait until its deadline although another endpoint
-	// could answer.
+	// A hung endpoint keeps the connection open and sends nothing. Without the watchdog
+	// its caller would wait until its deadline although another endpoint could answer.
 	watchdog := time.AfterFunc(StallTimeout, cancel)
 	defer watchdog.Stop()
 	o := c.stream(attempt, call, s, func(f Frame) error {
@@ -168,7 +175,7 @@
 		return emit(f)
 	})
 	if o.Result != Complete && ctx.Err() != nil {
-		// The attempt's own end tells nothing about the endpoint then.
+		// In this case the attempt's own result shows nothing about the endpoint.
 		o.Result, o.Err = CallerGone, ctx.Err()
 	}
 	c.metrics.attempts.WithLabelValues(o.Result.String()).Inc()
@@ -190,15 +197,15 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return sendFailure(err)
+		return classifySendError(err)
 	}
 	defer resp.Body.Close()
-	o := Outcome{Reported: true, Report: report(resp.Header)}
-	if bad := c.checkHead(resp, call); bad.Result != Complete {
+	o := Outcome{Reported: true, Report: parseReport(resp.Header)}
+	if bad := c.checkHeader(resp, call); bad.Result != Complete {
 		bad.Reported, bad.Report = o.Reported, o.Report
 		return bad
 	}
-	o.Result, o.Err = c.relay(resp.Body, call, s, func(f Frame) error {
+	o.Result, o.Err = c.relayEvents(resp.Body, call, s, func(f Frame) error {
 		if o.FirstToken == 0 {
 			o.FirstToken = time.Since(start)
 		}
@@ -210,7 +217,7 @@
 func newRequest(ctx context.Context, call Call, s *Stream) (*http.Request, error) {
 	var p *resumePoint
 	if s.Next > 0 && s.lastAddress != call.Address {
-		// Another endpoint never saw this stream: it continues from the text.
+		// Another endpoint has not run this stream and continues from the text.
 		p = &resumePoint{Position: s.Next, Text: s.Text()}
 	}
 	body, err := call.Body.encode(call.Version, p)
@@ -237,8 +244,9 @@
 	return req, nil
 }
 
-// sendFailure tells a connect that failed, after which nothing can have run, from all else.
-func sendFailure(err error) Outcome {
+// classifySendError distinguishes a failed connect, after which the request certainly
+// did not run, from all other errors.
+func classifySendError(err error) Outcome {
 	var cold *ColdError
 	if errors.As(err, &cold) {
 		return Outcome{Result: Cold, Err: err, Reported: true, Report: cold.Report}
@@ -250,7 +258,7 @@
 	return Outcome{Result: Crashed, Err: err}
 }
 
-func report(h http.Header) Report {
+func parseReport(h http.Header) Report {
 	running, err := strconv.Atoi(h.Get("X-Running"))
 	if err != nil {
 		running = -1
@@ -263,9 +271,9 @@
 	}
 }
 
-// checkHead refuses an answer that is not a stream of the version asked for.
-// Result Complete means that the stream may be read.
-func (c *Client) checkHead(resp *http.Response, call Call) Outcome {
+// checkHeader checks that an answer is a stream of the requested version. Result
+// Complete means that the stream may be read.
+func (c *Client) checkHeader(resp *http.Response, call Call) Outcome {
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
 		return Outcome{Result: Refused, RetryAfter: retryAfter(resp.Header), Err: fmt.Errorf("endpoint refused with %d", resp.StatusCode)}
@@ -276,9 +284,9 @@
 	case resp.StatusCode != http.StatusOK:
 		return Outcome{Result: Failed, Err: fmt.Errorf("endpoint answered %d", resp.StatusCode)}
 	}
-	// An order that came late can flip an endpoint's version between the choice and
-	// the answer; the caller would get a version it may not use, unseen. The head
-	// names the version that runs, and nothing is passed on before this check.
+	// A late order can change an endpoint's version between the choice and the answer,
+	// and the caller would silently get a version that it may not use. The headers name
+	// the version that runs, and nothing is passed on before this check.
 	if v := resp.Header.Get("X-Model-Version"); v != call.Version {
 		c.metrics.wrongVersion.Inc()
 		return Outcome{Result: WrongVersion, Err: fmt.Errorf("endpoint answered as %q", v)}
@@ -294,16 +302,16 @@
 	return time.Duration(s) * time.Second
 }
 
-// errCut ends the reading of a stream that left out a token.
-var errCut = errors.New("stream left out a token")
+// errTokenGap is returned if a stream is missing a token.
+var errTokenGap = errors.New("stream left out a token")
 
-// relay reads events until the end mark.
-func (c *Client) relay(body io.Reader, call Call, s *Stream, emit func(Frame) error) (Result, error) {
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxFrame}) {
+// relayEvents reads events up to the end marker and passes the accepted frames to emit.
+func (c *Client) relayEvents(body io.Reader, call Call, s *Stream, emit func(Frame) error) (Result, error) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxFrameBytes}) {
 		if err != nil {
 			return Cut, err
 		}
-		if strings.TrimSpace(event.Data) == endMark {
+		if strings.TrimSpace(event.Data) == endMarker {
 			if s.Finish == "" {
 				return Cut, errors.New("end mark without a finish reason")
 			}
@@ -321,10 +329,10 @@
 				return CallerGone, err
 			}
 		case frameGap:
-			return Cut, errCut
+			return Cut, errTokenGap
 		}
 	}
-	// The connection ended cleanly but the end mark is missing: taking this for the
-	// end would hand the caller half an answer as a whole one.
+	// The connection ended cleanly without the end marker. Treating this as the end
+	// would give the caller half an answer as a complete one.
 	return Cut, io.ErrUnexpectedEOF
 }
--- a/router/engine/client_test.go
+++ b/router/engine/client_test.go
@@ -34,9 +34,9 @@
 	return b
 }
 
-// An engine fails in each way that the stand-in knows. The client must name the
-// result for what it is, since dispatch decides by it whether to send the request
-// again; and the caller's text is never more than the beginning of the answer.
+// An engine fails in each way that the stand-in supports. The client must return the
+// matching result, by which dispatch decides whether to send the request again, and the
+// caller's text must be a prefix of the answer.
 func TestEngineFaults(t *testing.T) {
 	const tokens = 6
 	truth := backend.Answer("x", tokens)
@@ -74,17 +74,18 @@
 	}
 }
 
-// A stream is cut and goes on: at the engine that ran it by position, at another by
-// the text so far. An engine that has forgotten it says so, and nothing of it runs.
+// A cut stream is resumed: at the same engine by position, at another one from the text
+// so far. An engine that no longer holds the stream must report this without running any
+// part of it.
 func TestResumeAtEngines(t *testing.T) {
 	const tokens, cut = 8, 3
 	for name, row := range map[string]struct {
 		same, forget bool
 		result       Result
 	}{
-		"same engine":                      {same: true, result: Complete},
-		"same engine, which has forgotten": {same: true, forget: true, result: Forgotten},
-		"another engine":                   {result: Complete},
+		"same engine":                    {same: true, result: Complete},
+		"same engine without the stream": {same: true, forget: true, result: Forgotten},
+		"another engine":                 {result: Complete},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, second := backend.NewEngine(callVersion), backend.NewEngine(callVersion)
@@ -109,8 +110,8 @@
 	}
 }
 
-// The caller leaves in the middle. The engine must see it go, so that it stops
-// generating, and the attempt says nothing against the endpoint.
+// The caller disconnects in the middle of a stream. The engine must observe this and
+// stop generating, and the result must not count against the endpoint.
 func TestCallerGoneCancelsTheEngine(t *testing.T) {
 	e := backend.NewEngine(callVersion)
 	e.SetFaults(backend.EngineFaults{TokenDelay: time.Millisecond})
@@ -122,9 +123,10 @@
 	require.Eventually(t, func() bool { return e.Stats().Cancelled == 1 }, 30*time.Second, time.Millisecond)
 }
 
-// A cold engine is met on a new connection. Without a cold slot no byte of the
-// request may leave; with one that is still the caller's the request runs.
-func TestColdEngineIsAskedFirst(t *testing.T) {
+// A new connection reaches an engine in cold start. Without a cold slot, or with one
+// that is no longer held, no byte of the request may be sent; with a cold slot that is
+// still held the request runs.
+func TestColdEngineGetsNoRequestWithoutSlot(t *testing.T) {
 	e := backend.NewEngine(callVersion)
 	e.Restart()
 	address := engineServer(t, e.Handler())
--- a/router/engine/frame.go
+++ b/router/engine/frame.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 )
 
-// Usage is what an engine says a stream took, in tokens.
+// Usage is the number of tokens of a stream, as counted by the engine.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
@@ -13,17 +13,17 @@
 
 // Frame is one event of an engine's stream.
 type Frame struct {
-	// ID is the request the frame belongs to, as the engine was told.
+	// ID is the request id that the engine was given.
 	ID string
 	// Position counts the tokens before this frame, from 0.
 	Position int
-	// Text is what the frame adds to the answer.
+	// Text is the text that the frame adds to the answer.
 	Text string
 	// Finish is the finish reason; only the last frame carries one.
 	Finish string
-	// Usage comes with the finish reason.
+	// Usage arrives with the finish reason.
 	Usage *Usage
-	// Data is the frame as received, for passing on.
+	// Data is the frame as received; it is passed on unchanged.
 	Data string
 }
 
@@ -42,10 +42,10 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// endMark is the data of the event that ends a stream.
-const endMark = "[DONE]"
+// endMarker is the data of the event that ends a stream.
+const endMarker = "[DONE]"
 
-// ParseFrame reads one event's data. It returns an error for anything that is not a frame.
+// ParseFrame parses one event's data. It returns an error for data that is not a frame.
 func ParseFrame(data string) (Frame, error) {
 	var w wireFrame
 	if err := json.Unmarshal([]byte(data), &w); err != nil {
@@ -59,7 +59,7 @@
 	return f, nil
 }
 
-// WholeFrame is a whole recorded answer as one frame.
+// WholeFrame returns a complete recorded answer as one frame.
 func WholeFrame(id, text, finish string, u Usage) Frame {
 	w := wireFrame{ID: id, Usage: &u, Choices: make([]wireChoice, 1)}
 	w.Choices[0].Delta.Content = text
@@ -69,21 +69,22 @@
 	return Frame{ID: id, Text: text, Finish: finish, Usage: &u, Data: string(data)}
 }
 
-// Body is the JSON body of a completion request with the fields the router reads
-// and sets; all others are passed through unchanged, but for "resume".
+// Body is the JSON body of a completion request with the fields that the router reads
+// and sets. All other fields except "resume" are passed on unchanged.
 type Body struct {
 	fields map[string]json.RawMessage
-	// Model is the model or model version the caller asks for.
+	// Model is the model or model version that the caller requests.
 	Model string
-	// Stream says whether the caller wants the answer as a stream.
+	// Stream is set if the caller requests a stream of events.
 	Stream bool
-	// MaxTokens bounds the answer; 0 when the caller sets none.
+	// MaxTokens bounds the answer; 0 if the caller sets no bound.
 	MaxTokens int
-	// Messages is the raw prompt, the key of prefix affinity and of fingerprints.
+	// Messages is the raw prompt, from which prefix hashes and fingerprints are
+	// computed.
 	Messages json.RawMessage
 }
 
-// ParseBody reads a completion request.
+// ParseBody parses a completion request.
 func ParseBody(raw []byte) (*Body, error) {
 	b := &Body{fields: make(map[string]json.RawMessage)}
 	if err := json.Unmarshal(raw, &b.fields); err != nil {
@@ -102,13 +103,15 @@
 	return b, nil
 }
 
-// resumePoint tells an engine that did not run the stream what was generated so far.
+// resumePoint informs an engine that did not run the stream what has been generated so
+// far.
 type resumePoint struct {
 	Position int    `json:"position"`
 	Text     string `json:"text"`
 }
 
-// encode gives the body for an engine: always streamed, and resumed from p if that is set.
+// encode returns the body for an engine. The answer is always streamed, and is resumed
+// from p if p is not nil.
 func (b *Body) encode(version string, p *resumePoint) ([]byte, error) {
 	out := make(map[string]any, len(b.fields)+3)
 	for k, v := range b.fields {
@@ -117,8 +120,9 @@
 	out["model"] = version
 	out["stream"] = true
 	out["stream_options"] = map[string]bool{"include_usage": true}
-	// A caller's own "resume" would have the engine go on from a text that it never
-	// generated, as if the answer had begun with it. Only the router knows what was.
+	// With a caller's own "resume", the engine would continue from a text that it never
+	// generated, as if the answer had begun with it. Only the router knows what was
+	// generated.
 	delete(out, "resume")
 	if p != nil {
 		out["resume"] = p
--- a/router/engine/metrics.go
+++ b/router/engine/metrics.go
@@ -2,11 +2,11 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics counts what the engine client sees.
+// Metrics counts the attempts and frames of the engine client.
 type Metrics struct {
 	attempts     *prometheus.CounterVec
 	wrongVersion prometheus.Counter
-	frames       [verdictCount]prometheus.Counter
+	frames       [frameVerdictCount]prometheus.Counter
 }
 
 // NewMetrics registers the client's counters.
@@ -23,9 +23,9 @@
 	}
 	frames := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "goldcrest_engine_frames_total",
-		Help: "Frames of engines by what became of them.",
+		Help: "Frames of engines by the decision on them.",
 	}, []string{"verdict"})
-	for v := range verdictCount {
+	for v := range frameVerdictCount {
 		m.frames[v] = frames.WithLabelValues(verdictNames[v])
 	}
 	r.MustRegister(m.attempts, m.wrongVersion, frames)
--- a/router/engine/stream.go
+++ b/router/engine/stream.go
@@ -2,47 +2,47 @@
 
 import "strings"
 
-// Stream is what was passed on of one answer so far, over all attempts. It is
-// used by one goroutine at a time.
+// Stream holds what was passed on of one answer so far, over all attempts. It is used by
+// one goroutine at a time.
 type Stream struct {
 	// Next is the position of the next token.
 	Next int
-	// Finish is the finish reason, once it came.
+	// Finish is the finish reason once it has arrived.
 	Finish string
-	// Usage is the engine's count, once it came.
+	// Usage is the engine's token count once it has arrived.
 	Usage Usage
 
 	text        strings.Builder
 	lastAddress string
 }
 
-// Resumed returns a stream of which the caller already has the tokens before
+// NewResumedStream returns a stream of which the caller already has the tokens before
 // next, and which the endpoint at address ran.
-func Resumed(next int, address string) *Stream {
+func NewResumedStream(next int, address string) *Stream {
 	return &Stream{Next: next, lastAddress: address}
 }
 
-// Text is what was passed on in this process.
+// Text returns the text that this process has passed on.
 func (s *Stream) Text() string { return s.text.String() }
 
-// verdict is what becomes of a frame.
-type verdict int
+// frameVerdict is the decision on a received frame.
+type frameVerdict int
 
 const (
-	frameNext verdict = iota
+	frameNext frameVerdict = iota
 	frameCrossed
 	frameDoubled
 	frameGap
 	frameAfterEnd
-	verdictCount
+	frameVerdictCount
 )
 
-var verdictNames = [verdictCount]string{"passed", "crossed", "doubled", "gap", "after-end"}
+var verdictNames = [frameVerdictCount]string{"passed", "crossed", "doubled", "gap", "after-end"}
 
-// accept decides over one frame by request and position. A late or crossed frame
-// shown to the caller would be text of another answer; position and request id
-// together name exactly one place in one answer, so that no other frame fits it.
-func (s *Stream) accept(requestID string, f Frame) verdict {
+// accept decides on a frame by request id and position. A late frame or another
+// request's frame would show the caller the text of another answer. Position and request
+// id together identify exactly one place in one answer, so no other frame matches it.
+func (s *Stream) accept(requestID string, f Frame) frameVerdict {
 	switch {
 	case f.ID != requestID:
 		return frameCrossed
--- a/router/engine/warm.go
+++ b/router/engine/warm.go
@@ -11,30 +11,30 @@
 	"time"
 )
 
-// ColdError says that a new connection found the endpoint in cold start. No byte
-// of a request left.
+// ColdError is returned if a new connection finds the endpoint in cold start. No byte of
+// a request was sent.
 type ColdError struct{ Report Report }
 
+// Error implements error.
 func (e *ColdError) Error() string { return "endpoint is in cold start" }
 
-// warmDialer makes connections that only ever lead to a warm endpoint.
+// warmDialer makes connections that carry a request only to a warm endpoint.
 //
-// Failure: an endpoint starts anew without warning, and each VM that last saw it
-// warm sends it a warm endpoint's load before the first answer tells otherwise.
-// Symptom: many times its cold limit at once, and it breaks. Why this suffices: a
-// new start breaks every connection to the old one, so that a kept connection
-// leads to the process that called itself warm; and a new connection carries no
-// request before the process at its end has said on it that it is warm. What it
-// can't see is an engine that goes cold within its process; such an engine's next
-// answer says so.
+// Failure: an endpoint restarts without notice, and each VM that last saw it warm sends
+// it a warm endpoint's load before the first answer shows the change. Symptom: the
+// endpoint gets many times its cold limit at once and fails. A restart breaks every
+// connection to the previous process, so a kept connection leads to the process that
+// reported itself warm; a new connection carries no request before the process at its
+// other end has reported on it that it is warm. An engine that turns cold without a
+// restart of its process is not detected here; its next answer reports it.
 type warmDialer struct{ net.Dialer }
 
-func (d *warmDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *warmDialer) dialWarm(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	r, err := probe(conn, address)
+	r, err := queryState(conn, address)
 	if err == nil && r.Cold {
 		err = &ColdError{Report: r}
 	}
@@ -45,14 +45,14 @@
 	return conn, nil
 }
 
-// mayStartKey carries a cold slot's MayStart to the dial.
+// mayStartKey is the context key of a cold slot's MayStart.
 type mayStartKey struct{}
 
-// errSlotLost: the cold slot ran out while the connection was made.
+// errSlotLost is returned if the cold slot expired while the connection was made.
 var errSlotLost = errors.New("the cold slot is no longer this VM's")
 
-// dialCold connects for a request that holds a cold slot. A process that was paused
-// after it got the slot finds here that the slot may be another VM's by now.
+// dialCold connects for a request that holds a cold slot. If the process was paused
+// after it got the slot, the slot may belong to another VM by now; dialCold then fails.
 func (d *warmDialer) dialCold(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := d.DialContext(ctx, network, address)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return conn, nil
 }
 
-// probe asks the process at the end of a connection for its state.
-func probe(conn net.Conn, address string) (Report, error) {
+// queryState requests the state of the endpoint at the other end of a connection.
+func queryState(conn net.Conn, address string) (Report, error) {
 	if err := conn.SetDeadline(time.Now().Add(DialTimeout)); err != nil {
 		return Report{}, err
 	}
@@ -79,21 +79,21 @@
 		return Report{}, err
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxFrame)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxFrameBytes)); err != nil {
 		return Report{}, err
 	}
 	if resp.StatusCode != http.StatusOK || resp.Close || buffer.Buffered() > 0 {
 		return Report{}, errors.New("endpoint does not tell its state")
 	}
-	return report(resp.Header), conn.SetDeadline(time.Time{})
+	return parseReport(resp.Header), conn.SetDeadline(time.Time{})
 }
 
-// State asks an endpoint for its state on a connection of its own.
+// State requests an endpoint's state on a separate connection.
 func (c *Client) State(ctx context.Context, address string) (Report, error) {
 	conn, err := c.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return Report{}, err
 	}
 	defer conn.Close()
-	return probe(conn, address)
+	return queryState(conn, address)
 }
--- a/router/engine/whole_test.go
+++ b/router/engine/whole_test.go
@@ -16,7 +16,7 @@
 
 func token(i int) string { return fmt.Sprintf("t%d ", i) }
 
-func whole(n int) string {
+func fullText(n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(token(i))
@@ -29,8 +29,8 @@
 	return fmt.Sprintf("data: {\"id\":%q,\"position\":%d,\"choices\":[{\"delta\":{\"content\":%q},\"finish_reason\":%q}]}\n\n", id, position, text, finish)
 }
 
-// attempt draws what one faulty attempt at an answer of n tokens sends.
-func attempt(t *rapid.T, next, n int) string {
+// drawAttempt draws the events that one faulty attempt at an answer of n tokens sends.
+func drawAttempt(t *rapid.T, next, n int) string {
 	var b strings.Builder
 	from := rapid.SampledFrom([]int{next, next, 0, min(next+1, n)}).Draw(t, "from")
 	for i := from; i < n; i++ {
@@ -63,20 +63,19 @@
 	return b.String()
 }
 
-// A caller's answer is made of several attempts, whose frames come doubled, late,
-// crossed with another request's, with gaps, and cut. What it was sent must at each
-// moment be the beginning of the true answer, and an answer called complete must
-// be all of it: request and position name one place, and only the end mark ends.
-func TestAnswerIsAlwaysABeginningOfTheTruth(t *testing.T) {
+// An answer consists of several attempts whose frames are duplicated, late, mixed with
+// another request's, missing or cut. The relayed text must always be a prefix of the
+// true answer, and an answer reported as complete must be the whole of it.
+func TestRelayedTextIsPrefixOfAnswer(t *testing.T) {
 	c := NewClient(NewMetrics(prometheus.NewRegistry()))
 	completed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 12).Draw(t, "tokens")
-		truth, got := whole(n), ""
+		truth, got := fullText(n), ""
 		s := &Stream{}
 		for range rapid.IntRange(1, 6).Draw(t, "attempts") {
-			body := attempt(t, s.Next, n)
-			result, _ := c.relay(strings.NewReader(body), Call{RequestID: requestID}, s, func(f Frame) error {
+			body := drawAttempt(t, s.Next, n)
+			result, _ := c.relayEvents(strings.NewReader(body), Call{RequestID: requestID}, s, func(f Frame) error {
 				got += f.Text
 				require.True(t, strings.HasPrefix(truth, got), "%q", got)
 				return nil
@@ -91,12 +90,12 @@
 			require.Contains(t, []Result{Cut}, result)
 		}
 	})
-	require.Positive(t, completed, "some schedules must have been completed")
+	require.Positive(t, completed, "some answers must have been complete")
 }
 
-// Whatever bytes an endpoint sends: no token comes twice, out of order or from
-// another request, nothing comes after the finish, and without the end mark
-// the answer isn't complete.
+// FuzzRelay checks with arbitrary bytes from an endpoint that no token is relayed twice,
+// out of order or from another request, that nothing follows the finish reason, and that
+// an answer without the end marker is not complete.
 func FuzzRelay(f *testing.F) {
 	good := event(requestID, 0, "a", "") + event(requestID, 1, "b", "") + event(requestID, 2, "", "stop") + "data: [DONE]\n\n"
 	for _, seed := range []string{
@@ -111,7 +110,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		next, finished := 0, false
 		s := &Stream{}
-		result, _ := c.relay(bytes.NewReader(body), Call{RequestID: requestID}, s, func(f Frame) error {
+		result, _ := c.relayEvents(bytes.NewReader(body), Call{RequestID: requestID}, s, func(f Frame) error {
 			require.Equal(t, requestID, f.ID)
 			require.Equal(t, next, f.Position)
 			require.False(t, finished)
@@ -123,13 +122,14 @@
 		})
 		require.Equal(t, next, s.Next)
 		if result == Complete {
-			require.Contains(t, string(body), endMark)
+			require.Contains(t, string(body), endMarker)
 			require.True(t, finished)
 		}
 	})
 }
 
-// A frame that is read is one that can be written and read again with the same meaning.
+// FuzzParseFrame checks that a parsed frame can be encoded and parsed again with the
+// same meaning.
 func FuzzParseFrame(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"a","position":1,"choices":[{"delta":{"content":"x"}}]}`, `{}`, `null`, `[]`, `{"position":1e9}`, `{"position":1.5}`,
@@ -154,8 +154,9 @@
 	})
 }
 
-// What the router sends to an engine names the version it chose and asks for a
-// stream, whatever the caller's body holds; and only the router says where to resume.
+// FuzzParseBody checks that the body sent to an engine names the chosen version,
+// requests a stream and holds no "resume" of the caller, whatever the caller's body
+// holds.
 func FuzzParseBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"asistente","messages":[{"role":"user","content":"x"}],"max_tokens":4}`, `{"MODEL":"x","model":"y"}`, `{}`, `null`, `[]`,
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -124,7 +124,7 @@
 // stream is where the answer starts.
 func (c *chat) stream(endpoint string) *engine.Stream {
 	if c.resume != nil {
-		return engine.Resumed(c.from, endpoint)
+		return engine.NewResumedStream(c.from, endpoint)
 	}
 	return &engine.Stream{}
 }
