--- a/router/entry/answer.go
+++ b/router/entry/answer.go
@@ -11,45 +11,48 @@
 	"goldcrestfork/router/refusal"
 )
 
-// answer is the caller's side of one request: a stream of events, or one document
-// at the end. Nothing is written before the first token, so that all that can be
-// refused before is refused with a status.
+// answer writes the caller's response to one request: a stream of events, or one
+// document at the end. Nothing is written before the first token, so that any refusal
+// before it can be sent with an HTTP status.
 type answer struct {
 	w        http.ResponseWriter
 	rc       *http.ResponseController
-	c        *chat
+	c        *chatRequest
 	endpoint string
 	started  bool
-	// held keeps the frames of an answer that may still be discarded.
-	holding bool
-	held    []engine.Frame
+	// buffered holds the frames of an answer that may still be discarded; frames are
+	// added to it while buffering is set.
+	buffering bool
+	buffered  []engine.Frame
 }
 
-func newAnswer(w http.ResponseWriter, c *chat) *answer {
+func newAnswer(w http.ResponseWriter, c *chatRequest) *answer {
 	return &answer{w: w, rc: http.NewResponseController(w), c: c}
 }
 
-// hold begins an answer that is kept back until it is accepted, or one that is
-// passed on as it comes; what was held before is discarded.
-func (a *answer) hold(on bool) {
-	a.holding, a.held = on, nil
+// setBuffering discards the frames in the buffer and starts an answer: if on, its frames
+// are buffered until it is accepted, otherwise they are written as they arrive.
+func (a *answer) setBuffering(on bool) {
+	a.buffering, a.buffered = on, nil
 }
 
-// from notes the endpoint that the next frames come from; a resume token names it.
-func (a *answer) from(endpoint string) {
+// setEndpoint sets the endpoint that the next frames come from, which the resume token
+// names.
+func (a *answer) setEndpoint(endpoint string) {
 	moved := a.started && a.endpoint != endpoint
 	a.endpoint = endpoint
-	if moved && a.c.sign != nil {
-		// Headers are gone; a comment line is the one part of an event stream that
-		// clients pass over.
+	if moved && a.c.signResume != nil {
+		// The headers are already sent. A comment line is the one part of an event
+		// stream that clients ignore.
 		m := &sse.Message{}
-		m.AppendComment("resume-token " + a.token())
+		m.AppendComment("resume-token " + a.signedToken())
 		_, _ = m.WriteTo(a.w)
 	}
 }
 
-func (a *answer) token() string {
-	return a.c.sign(resumeToken{
+// signedToken returns the token with which the caller can resume the stream.
+func (a *answer) signedToken() string {
+	return a.c.signResume(resumeToken{
 		RequestID: a.c.RequestID,
 		Account:   a.c.Account.Name,
 		Version:   a.c.version,
@@ -59,45 +62,45 @@
 	})
 }
 
-// head writes the headers common to both forms.
-func (a *answer) head() {
+// setHeaders sets the headers common to streams and documents.
+func (a *answer) setHeaders() {
 	h := a.w.Header()
 	h.Set(HeaderVersion, a.c.version)
-	if a.c.pin != "" {
-		h.Set(HeaderPin, a.c.pin)
+	if a.c.newPin != "" {
+		h.Set(HeaderPin, a.c.newPin)
 	}
 	if a.c.moved != "" {
 		h.Set(HeaderMoved, a.c.moved)
 	}
 }
 
-// frame passes one frame on; an error means that the caller has gone.
-func (a *answer) frame(f engine.Frame) error {
+// writeFrame writes or buffers one frame. An error means that the caller disconnected.
+func (a *answer) writeFrame(f engine.Frame) error {
 	if !a.c.body.Stream {
 		return nil
 	}
-	if a.holding {
-		a.held = append(a.held, f)
+	if a.buffering {
+		a.buffered = append(a.buffered, f)
 		return nil
 	}
 	if !a.started {
 		a.started = true
-		a.head()
+		a.setHeaders()
 		a.w.Header().Set("Content-Type", "text/event-stream")
 		a.w.Header().Set("Cache-Control", "no-store")
-		if a.c.sign != nil {
-			a.w.Header().Set(HeaderResume, a.token())
+		if a.c.signResume != nil {
+			a.w.Header().Set(HeaderResume, a.signedToken())
 		}
 	}
-	// The event's id is the position to resume from.
+	// The event's id is the position from which to resume.
 	next := f.Position
 	if f.Text != "" {
 		next++
 	}
-	return a.event(sse.ID(strconv.Itoa(next)), f.Data)
+	return a.writeEvent(sse.ID(strconv.Itoa(next)), f.Data)
 }
 
-func (a *answer) event(id sse.EventID, data string) error {
+func (a *answer) writeEvent(id sse.EventID, data string) error {
 	m := &sse.Message{ID: id}
 	m.AppendData(data)
 	if _, err := m.WriteTo(a.w); err != nil {
@@ -107,42 +110,42 @@
 }
 
 // finish ends the answer. A refusal that it returns has not been sent yet.
-func (a *answer) finish(fin end) *refusal.Refusal {
+func (a *answer) finish(fin requestEnd) *refusal.Refusal {
 	if fin.refusal == nil {
-		a.release()
+		a.flushBuffered()
 	}
 	switch {
 	case fin.refusal != nil && !a.started:
 		return fin.refusal
 	case fin.refusal != nil:
-		a.cut(fin.refusal)
+		a.writeError(fin.refusal)
 	case a.c.body.Stream:
-		// An answer without tokens has sent no header yet.
+		// An answer without tokens has not sent its headers yet.
 		if !a.started {
-			a.head()
+			a.setHeaders()
 			a.w.Header().Set("Content-Type", "text/event-stream")
 		}
-		_ = a.event(sse.EventID{}, "[DONE]")
+		_ = a.writeEvent(sse.EventID{}, "[DONE]")
 	default:
-		a.document(fin.stream)
+		a.writeCompletion(fin.stream)
 	}
 	return nil
 }
 
-// release passes on what was held: its answer was accepted.
-func (a *answer) release() {
-	held := a.held
-	a.hold(false)
-	for _, f := range held {
-		if a.frame(f) != nil {
+// flushBuffered writes the buffered frames of an accepted answer.
+func (a *answer) flushBuffered() {
+	frames := a.buffered
+	a.setBuffering(false)
+	for _, f := range frames {
+		if a.writeFrame(f) != nil {
 			return
 		}
 	}
 }
 
-// cut tells the caller of a stream that it is not whole: without the event a
-// client that takes the connection's end for the end mark would keep half an answer.
-func (a *answer) cut(r *refusal.Refusal) {
+// writeError ends a stream with an error event. Without it, a client that takes the end
+// of the connection for the end of the stream would keep half an answer.
+func (a *answer) writeError(r *refusal.Refusal) {
 	r.RequestID = a.c.RequestID
 	m := &sse.Message{Type: sse.Type("error")}
 	m.AppendData(string(r.JSON()))
@@ -150,7 +153,7 @@
 	_ = a.rc.Flush()
 }
 
-// completion is the whole answer of a request that is not streamed.
+// completion is the whole answer to a request that is not streamed.
 type completion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -170,7 +173,7 @@
 	Content string `json:"content"`
 }
 
-func newCompletion(c *chat, s *engine.Stream) completion {
+func newCompletion(c *chatRequest, s *engine.Stream) completion {
 	return completion{
 		ID:      c.engineID,
 		Object:  "chat.completion",
@@ -180,8 +183,8 @@
 	}
 }
 
-func (a *answer) document(s *engine.Stream) {
-	a.head()
+func (a *answer) writeCompletion(s *engine.Stream) {
+	a.setHeaders()
 	a.w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(a.w).Encode(newCompletion(a.c, s))
 }
--- a/router/entry/cascade.go
+++ b/router/entry/cascade.go
@@ -13,12 +13,13 @@
 	"goldcrestfork/router/refusal"
 )
 
-// Rater asks the rating service; an error means that there is no rating in time.
+// Rater calls the rating service. An error means that no rating arrived in time.
 type Rater interface {
+	// Rate returns the rating of an answer, from 0 to 1.
 	Rate(ctx context.Context, q Rating) (float64, error)
 }
 
-// Rating is one answer to be rated.
+// Rating is an answer to be rated, with its request.
 type Rating struct {
 	Account string `json:"account"`
 	Version string `json:"version"`
@@ -26,21 +27,22 @@
 	Answer  string `json:"answer"`
 }
 
-// tokenBytes is the assumed length of a token, in bytes, for the size of a prompt.
+// tokenBytes is the assumed length of a token in bytes, for estimating the size of a
+// prompt.
 const tokenBytes = 4
 
-// HeaderTask is the caller's label for the kind of request; cascades learn by it.
+// HeaderTask is the caller's label for the kind of request; cascades learn per label.
 const HeaderTask = "X-Task"
 
-// plan decides the steps of a request. An explicit version, a session, a resumed
-// stream and a request that may run only once have one.
-func (e *Entry) plan(c *chat) (cascade.Plan, *refusal.Refusal) {
+// planSteps decides the steps of a request. An explicit version, a session, a resumed
+// stream and a request that may run only once have one step.
+func (e *Entry) planSteps(c *chatRequest) (cascade.Plan, *refusal.Refusal) {
 	s := e.configuration.Snapshot()
 	chain := cascade.Chain(s.Versions, c.Account, c.version)
 	p, err := e.learner.Plan(c.Account, chain, cascade.Request{
 		Label:        c.task,
 		PromptTokens: len(c.body.Messages) / tokenBytes,
-		MaxTokens:    int(c.size()),
+		MaxTokens:    int(c.expectedTokens()),
 		Class:        c.Class,
 		Repeatable:   c.Key == "",
 		Pinned:       c.Session != "" || c.resume != nil || c.body.Model == c.version,
@@ -49,29 +51,29 @@
 	case errors.Is(err, cascade.ErrSpendCap):
 		return p, refusal.New(http.StatusPaymentRequired, refusal.SpendCap, "the account's spend cap is below the price of max_tokens on any version")
 	case err != nil:
-		return p, c.noVersion(s)
+		return p, c.noVersionRefusal(s)
 	}
 	return p, nil
 }
 
-// cascaded runs a request's steps until an answer is accepted. Nothing of an
-// answer that is not accepted reaches the caller.
-func (e *Entry) cascaded(ctx context.Context, c *chat, a *answer, p cascade.Plan) end {
-	var fin end
+// runCascade runs a request's steps until an answer is accepted. No part of an answer
+// that is not accepted reaches the caller.
+func (e *Entry) runCascade(ctx context.Context, c *chatRequest, a *answer, p cascade.Plan) requestEnd {
+	var fin requestEnd
 	spent := int64(0)
 	for i, step := range p.Steps {
-		c.step(i, step.Version, len(p.Steps))
-		a.hold(step.Buffered)
+		c.beginStep(i, step.Version, len(p.Steps))
+		a.setBuffering(step.Buffered)
 		start := time.Now()
-		earlier := fin
-		fin = e.attempts(ctx, c, a)
-		fin.ran = worse(fin.ran, earlier.ran)
-		spent += e.spent(fin)
+		previous := fin
+		fin = e.runAttempts(ctx, c, a)
+		fin.ran = lessCertain(fin.ran, previous.ran)
+		spent += e.stepCost(fin)
 		fin.cost = spent
 		if ctx.Err() != nil {
 			return fin
 		}
-		d := e.judge(ctx, c, p, i, fin, spent, time.Since(start))
+		d := e.evaluateStep(ctx, c, p, i, fin, spent, time.Since(start))
 		e.metrics.cascade.WithLabelValues(d.Action.String(), string(d.Reason)).Inc()
 		if d.Action != cascade.Escalate {
 			break
@@ -80,9 +82,9 @@
 	return fin
 }
 
-// step turns a request to one version. Each step has an id of its own at the
-// engines, so that a late frame of a discarded answer fits no later one.
-func (c *chat) step(i int, version string, steps int) {
+// beginStep sets the version of step i. Each step has its own id at the engines, so that
+// a late frame of a discarded answer does not match a later step.
+func (c *chatRequest) beginStep(i int, version string, steps int) {
 	c.version = version
 	c.engineID = c.RequestID
 	if steps > 1 {
@@ -92,12 +94,14 @@
 		c.engineID = c.resume.EngineID
 	}
 	if i > 0 {
-		// The comparison is between versions that were given the request first.
+		// The roll-out's comparison covers only the versions that were given the request
+		// first.
 		c.arm = rollout.ArmNone
 	}
 }
 
-func (e *Entry) judge(ctx context.Context, c *chat, p cascade.Plan, i int, fin end, spent int64, took time.Duration) cascade.Decision {
+// evaluateStep decides whether the answer of a step is accepted or the next step is run.
+func (e *Entry) evaluateStep(ctx context.Context, c *chatRequest, p cascade.Plan, i int, fin requestEnd, spent int64, took time.Duration) cascade.Decision {
 	o := cascade.Outcome{Spent: spent, NoTime: time.Until(c.Deadline) < took}
 	switch {
 	case fin.refusal != nil:
@@ -108,10 +112,11 @@
 	return e.learner.Judge(p, i, o, time.Now())
 }
 
-// errNoRater: no rating service is configured.
+// errNoRater is returned if no rating service is configured.
 var errNoRater = errors.New("no rating service")
 
-func (e *Entry) rate(ctx context.Context, c *chat, fin end) (float64, error) {
+// rate returns the rating service's rating of an answer and records it.
+func (e *Entry) rate(ctx context.Context, c *chatRequest, fin requestEnd) (float64, error) {
 	if e.rater == nil {
 		return 0, errNoRater
 	}
@@ -124,13 +129,13 @@
 		Answer:  fin.stream.Text(),
 	})
 	if err == nil {
-		e.outcomes.rated(c, r)
+		e.outcomes.recordRating(c, r)
 	}
 	return r, err
 }
 
-// worse is the less certain of two words on a run.
-func worse(a, b refusal.Ran) refusal.Ran {
+// lessCertain returns the less certain of two statements on whether a request ran.
+func lessCertain(a, b refusal.Ran) refusal.Ran {
 	rank := map[refusal.Ran]int{refusal.NotRun: 0, refusal.DidRun: 1, refusal.Unknown: 2}
 	if rank[a] >= rank[b] {
 		return a
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -18,60 +18,64 @@
 	"goldcrestfork/router/refusal"
 )
 
-// MaxBody bounds a caller's body, in bytes. Grounds: a prompt of 200,000 tokens takes about 1 MB.
+// MaxBody bounds a caller's body, in bytes. A prompt of 200,000 tokens takes about 1 MB.
 const MaxBody = 2 << 20
 
-// defaultTokens is the size taken for a request that names no bound, for the queue's estimate only.
+// defaultTokens is the size assumed for a request without max_tokens. Only the queue's
+// estimate uses it.
 const defaultTokens = 256
 
-// blockBytes is the length of one block of prompt whose hash stands for what an
-// engine caches; a block of 64 tokens takes about 256 bytes.
+// blockBytes is the length of one hashed block of a prompt. It corresponds to the blocks
+// that an engine caches: a block of 64 tokens takes about 256 bytes.
 const blockBytes = 256
 
-// maxBlocks bounds the hashes kept of one prompt; beyond 16 KB of common beginning
-// more hashes tell endpoints no further apart.
+// maxBlocks bounds the hashes kept of one prompt. Beyond a common prefix of 16 KB, more
+// hashes do not distinguish endpoints any further.
 const maxBlocks = 64
 
-// chat is one completion request on its way.
-type chat struct {
+// chatRequest is one completion request in progress.
+type chatRequest struct {
 	*Caller
 	body   *engine.Body
 	raw    []byte
 	prefix []uint64
-	// version is what must answer; pin and moved tell the caller about its session.
+	// version is the version that must answer. newPin and moved are the headers that
+	// inform the caller about its session.
 	version string
-	pin     string
+	newPin  string
 	moved   string
-	// pinned is the token that the caller sent.
-	pinned string
+	// sentPin is the session token that the caller sent.
+	sentPin string
 	// engineID is the request's id at the engines; each step of a cascade has its own.
 	engineID string
 	// task is the caller's label for the kind of request.
 	task string
 	// arm is the side of a roll-out's comparison that the outcome counts for.
 	arm rollout.Arm
-	// rollOut is the one that the arm was chosen by, at the revision of the choice.
+	// rollOut is the roll-out by which arm was chosen, at the revision of the choice.
 	rollOut *config.RollOut
-	// rated says that the answer's rating is recorded.
+	// rated is set once the answer's rating is recorded.
 	rated bool
-	// resume and from say which stream the request goes on with, and where.
-	resume *resumeToken
-	from   int
-	sign   func(resumeToken) string
+	// resume and resumeFrom are the stream to resume and the position to resume from.
+	resume     *resumeToken
+	resumeFrom int
+	// signResume signs resume tokens; nil if the answer can't be resumed.
+	signResume func(resumeToken) string
 }
 
-// maxBuffered bounds the bodies held at once, in bytes: a quarter of the 256 MB a
-// node may use. Queues bound their items; this bounds what those weigh together.
+// maxBuffered bounds the bodies held at once, in bytes: a quarter of the 256 MB that a
+// node may use. Queues bound the number of their items; maxBuffered bounds the memory of
+// their bodies.
 const maxBuffered = 64 << 20
 
-// readBody reads a whole body within the bounds; done frees it.
+// readBody reads a whole body within the bounds; done releases its share of maxBuffered.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, c *Caller) (raw []byte, done func(), bad *refusal.Refusal) {
-	free := limitArrival(w, c)
+	release := limitBodyRead(w, c)
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		free()
+		release()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, nil, refusal.New(http.StatusRequestTimeout, refusal.BadRequest, "the body did not arrive in time")
 	case errors.As(err, &tooLarge):
@@ -83,13 +87,13 @@
 	done = func() { e.buffered.Add(-size) }
 	if e.buffered.Add(size) > maxBuffered {
 		done()
-		return nil, nil, refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "the VM holds as many bodies as it may").After(comeBack)
+		return nil, nil, refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "the VM holds as many bodies as it may").After(retryDelay)
 	}
 	return raw, done, nil
 }
 
-// parseChat reads a completion request.
-func parseChat(raw []byte, c *Caller) (*chat, *refusal.Refusal) {
+// parseChat parses a completion request.
+func parseChat(raw []byte, c *Caller) (*chatRequest, *refusal.Refusal) {
 	body, err := engine.ParseBody(raw)
 	if err != nil {
 		return nil, refusal.New(http.StatusBadRequest, refusal.BadRequest, "the body is not a completion request: %v", err)
@@ -103,11 +107,12 @@
 	if body.MaxTokens < 0 {
 		return nil, refusal.New(http.StatusBadRequest, refusal.BadRequest, "max_tokens is negative")
 	}
-	return &chat{Caller: c, body: body, raw: raw, prefix: blocks(body.Messages)}, nil
+	return &chatRequest{Caller: c, body: body, raw: raw, prefix: hashBlocks(body.Messages)}, nil
 }
 
-// blocks hashes the prompt's leading blocks, each hash over all before it.
-func blocks(prompt []byte) []uint64 {
+// hashBlocks hashes the prompt's leading blocks; each hash covers all blocks up to its
+// own.
+func hashBlocks(prompt []byte) []uint64 {
 	n := min(len(prompt)/blockBytes, maxBlocks)
 	if n == 0 {
 		return nil
@@ -121,30 +126,31 @@
 	return out
 }
 
-// stream is where the answer starts.
-func (c *chat) stream(endpoint string) *engine.Stream {
+// newStream returns the stream of the answer, which begins at the position to resume
+// from.
+func (c *chatRequest) newStream(endpoint string) *engine.Stream {
 	if c.resume != nil {
-		return engine.NewResumedStream(c.from, endpoint)
+		return engine.NewResumedStream(c.resumeFrom, endpoint)
 	}
 	return &engine.Stream{}
 }
 
-// holder names the endpoint that holds the stream to resume.
-func (c *chat) holder() string {
+// resumeEndpoint returns the endpoint that holds the stream to resume, or "".
+func (c *chatRequest) resumeEndpoint() string {
 	if c.resume == nil {
 		return ""
 	}
 	return c.resume.Endpoint
 }
 
-// need is what the request asks of the dispatcher.
-func (c *chat) need() *dispatch.Need {
+// need returns the request's requirements for the dispatcher.
+func (c *chatRequest) need() *dispatch.Need {
 	n := &dispatch.Need{
 		RequestID:   c.RequestID,
 		Account:     c.Account,
 		Class:       c.Class,
 		Deadline:    c.Deadline,
-		Size:        c.size(),
+		Size:        c.expectedTokens(),
 		Pool:        c.version,
 		Prefix:      c.prefix,
 		Fingerprint: poison.Of(c.Account.Name, c.body.Model, c.raw),
@@ -156,8 +162,8 @@
 	return n
 }
 
-// size is the expected work in tokens.
-func (c *chat) size() float64 {
+// expectedTokens returns max_tokens, or defaultTokens if the caller sets none.
+func (c *chatRequest) expectedTokens() float64 {
 	if c.body.MaxTokens > 0 {
 		return float64(c.body.MaxTokens)
 	}
@@ -166,7 +172,7 @@
 
 // handleChat serves POST /v1/chat/completions.
 func (e *Entry) handleChat(w http.ResponseWriter, r *http.Request) {
-	caller, bad := e.open(r)
+	caller, bad := e.admit(r)
 	if bad != nil {
 		e.refuse(w, bad, "")
 		return
@@ -175,91 +181,92 @@
 	raw, done, bad := e.readBody(w, r, caller)
 	if bad == nil {
 		defer done()
-		bad = e.chatBody(w, r, raw, caller)
+		bad = e.serveChat(w, r, raw, caller)
 	}
 	if bad != nil {
 		e.refuse(w, bad, caller.RequestID)
 	}
 }
 
-// chatBody runs a request whose body is there. A refusal that it returns has not been sent yet.
-func (e *Entry) chatBody(w http.ResponseWriter, r *http.Request, raw []byte, caller *Caller) *refusal.Refusal {
+// serveChat runs a request whose body has been read. A refusal that it returns has not
+// been sent yet.
+func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request, raw []byte, caller *Caller) *refusal.Refusal {
 	c, bad := parseChat(raw, caller)
 	if bad != nil {
 		return bad
 	}
-	c.pinned, c.task = r.Header.Get(HeaderPin), r.Header.Get(HeaderTask)
+	c.sentPin, c.task = r.Header.Get(HeaderPin), r.Header.Get(HeaderTask)
 	if bad = e.readResume(r, c); bad != nil {
 		return bad
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.Deadline)
 	defer cancel()
-	if bad = e.choose(ctx, c); bad != nil {
+	if bad = e.chooseVersion(ctx, c); bad != nil {
 		return bad
 	}
 	a := newAnswer(w, c)
 	if c.Key != "" {
 		return e.chatOnce(ctx, c, a)
 	}
-	plan, bad := e.plan(c)
+	plan, bad := e.planSteps(c)
 	if bad != nil {
 		return bad
 	}
-	fin := e.cascaded(ctx, c, a, plan)
+	fin := e.runCascade(ctx, c, a, plan)
 	e.bill(c, fin)
-	e.sample(ctx, c, fin)
+	e.rateInBackground(ctx, c, fin)
 	return e.finish(a, fin)
 }
 
-// finish ends a caller's answer and counts what it got. A refusal that it returns
-// has not been sent yet.
-func (e *Entry) finish(a *answer, fin end) *refusal.Refusal {
+// finish ends a caller's answer and counts it. A refusal that it returns has not been
+// sent yet.
+func (e *Entry) finish(a *answer, fin requestEnd) *refusal.Refusal {
 	switch {
 	case fin.refusal == nil:
 		e.metrics.answers.WithLabelValues("completion").Inc()
 	case a.started:
-		// It goes out as the stream's last event; refusals that are answers are counted
-		// when they are sent.
+		// The refusal is sent as the stream's last event. Refusals that are returned are
+		// counted when they are sent.
 		e.metrics.refusals.WithLabelValues(string(fin.refusal.Code), string(fin.refusal.Ran)).Inc()
 	}
 	return a.finish(fin)
 }
 
-// end is how a request ended over all its attempts.
-type end struct {
+// requestEnd is how a request ended over all its attempts.
+type requestEnd struct {
 	// refusal is nil when the answer is whole.
 	refusal *refusal.Refusal
-	// stream is what was passed on.
+	// stream holds what was passed on to the caller.
 	stream *engine.Stream
-	// ran says that some endpoint ran it, at least in part, or may have.
+	// ran is what is known of the run at any endpoint.
 	ran refusal.Ran
-	// version is that of the last attempt.
+	// version is the version of the last attempt.
 	version string
-	// cost is that of all steps, in micro-units.
+	// cost is the cost of all steps, in micro-units.
 	cost int64
 }
 
-// attempts runs a request at one endpoint after the other until the answer is
-// whole, the caller has gone, or the retry budget says that it's over.
-func (e *Entry) attempts(ctx context.Context, c *chat, a *answer) end {
-	fin := end{stream: c.stream(e.dispatch.Address(c.holder())), version: c.version, ran: refusal.NotRun}
+// runAttempts runs a request at one endpoint after another until the answer is complete,
+// the caller has disconnected, or the retry budget allows no further attempt.
+func (e *Entry) runAttempts(ctx context.Context, c *chatRequest, a *answer) requestEnd {
+	fin := requestEnd{stream: c.newStream(e.dispatch.Address(c.resumeEndpoint())), version: c.version, ran: refusal.NotRun}
 	n := c.need()
 	for {
 		t, bad := e.acquire(ctx, c, n, fin.stream.Next > 0)
 		if bad != nil {
-			return fin.with(bad)
+			return fin.withRefusal(bad)
 		}
-		o := e.attempt(ctx, c, a, t, &fin)
+		o := e.runAttempt(ctx, c, a, t, &fin)
 		switch o.Result {
 		case engine.Complete:
 			fin.refusal = nil
 			return fin
 		case engine.CallerGone:
-			return fin.with(gone(ctx, fin.stream))
+			return fin.withRefusal(abandonedRefusal(ctx, fin.stream))
 		}
-		fin = fin.with(failure(o, fin.stream))
+		fin = fin.withRefusal(failureRefusal(o, fin.stream))
 		after, again := e.dispatch.DecideRetry(n, t, dispatch.Failure{
-			NotRun:    notRun(o.Result),
+			NotRun:    certainlyNotRun(o.Result),
 			Resumable: o.Result == engine.Cut,
 			DoneWork:  float64(fin.stream.Next),
 			NotSent:   o.Result == engine.NotSent,
@@ -271,24 +278,24 @@
 	}
 }
 
-// acquire waits for an endpoint. The wait may be long: what was allowed when the
-// request came may be withdrawn by the time it is its turn, and a withdrawn
-// version gets no new work, so that the check is made again with the ticket in hand.
-func (e *Entry) acquire(ctx context.Context, c *chat, n *dispatch.Need, started bool) (*dispatch.Ticket, *refusal.Refusal) {
+// acquire waits for an endpoint. The request's rights are checked again once the ticket
+// is granted: the wait may be long, its version may be withdrawn meanwhile, and a
+// withdrawn version gets no new work.
+func (e *Entry) acquire(ctx context.Context, c *chatRequest, n *dispatch.Need, started bool) (*dispatch.Ticket, *refusal.Refusal) {
 	t, bad := e.dispatch.Acquire(ctx, n)
 	if bad != nil {
 		return nil, bad
 	}
-	if bad := e.stillAllowed(c, started); bad != nil {
+	if bad := e.checkAllowed(c, started); bad != nil {
 		t.Cancel()
 		return nil, bad
 	}
 	return t, nil
 }
 
-// attempt is one run at one endpoint.
-func (e *Entry) attempt(ctx context.Context, c *chat, a *answer, t *dispatch.Ticket, fin *end) engine.Outcome {
-	a.from(t.Endpoint)
+// runAttempt runs one attempt at one endpoint.
+func (e *Entry) runAttempt(ctx context.Context, c *chatRequest, a *answer, t *dispatch.Ticket, fin *requestEnd) engine.Outcome {
+	a.setEndpoint(t.Endpoint)
 	call := engine.Call{
 		RequestID: c.engineID,
 		Address:   t.Address,
@@ -299,24 +306,24 @@
 	if t.Cold != nil {
 		call.MayStart = t.Cold.MayStart
 	}
-	o := e.engines.Stream(ctx, call, fin.stream, a.frame)
+	o := e.engines.Stream(ctx, call, fin.stream, a.writeFrame)
 	t.Done(resultOf(o, fin.stream))
-	e.outcomes.ended(c, o)
+	e.outcomes.recordAttempt(c, o)
 	if o.Result == engine.WrongVersion {
 		e.wrongVersion(t.Endpoint)
 	}
-	if !notRun(o.Result) {
+	if !certainlyNotRun(o.Result) {
 		fin.ran = refusal.Unknown
 	}
 	return o
 }
 
-// notRun says that an attempt certainly did not run.
-func notRun(r engine.Result) bool {
+// certainlyNotRun reports whether an attempt certainly did not run.
+func certainlyNotRun(r engine.Result) bool {
 	return r == engine.NotSent || r == engine.Refused || r == engine.Cold
 }
 
-// resultOf tells the dispatcher what an attempt says about its endpoint.
+// resultOf converts an attempt's outcome into the dispatcher's Result.
 func resultOf(o engine.Outcome, s *engine.Stream) dispatch.Result {
 	r := dispatch.Result{
 		Failed:      o.Result == engine.Failed || o.Result == engine.WrongVersion || o.Result == engine.Cut,
@@ -339,9 +346,9 @@
 	return r
 }
 
-// with ends the request with a refusal that is truthful over all attempts: an
+// withRefusal ends the request with a refusal that is correct over all attempts: an
 // earlier attempt may have run although the last one did not.
-func (fin end) with(bad *refusal.Refusal) end {
+func (fin requestEnd) withRefusal(bad *refusal.Refusal) requestEnd {
 	if fin.ran != refusal.NotRun && bad.Ran == refusal.NotRun {
 		bad.Ran = fin.ran
 	}
@@ -349,7 +356,7 @@
 	return fin
 }
 
-// sleep waits for d; false when the request ended before.
+// sleep waits for d. It returns false if the request ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -364,12 +371,14 @@
 	}
 }
 
-// statusClosed is the customary status of a request whose caller left; only logs and metrics see it.
-const statusClosed = 499
+// statusClientClosedRequest is the usual non-standard status of a request whose caller
+// disconnected; only logs and metrics show it.
+const statusClientClosedRequest = 499
 
-// gone is the end of a request whose deadline passed or whose caller left.
-func gone(ctx context.Context, s *engine.Stream) *refusal.Refusal {
-	r := refusal.New(statusClosed, refusal.AnswerCut, "the caller left after %d tokens", s.Next)
+// abandonedRefusal returns the refusal of a request whose deadline passed or whose
+// caller disconnected.
+func abandonedRefusal(ctx context.Context, s *engine.Stream) *refusal.Refusal {
+	r := refusal.New(statusClientClosedRequest, refusal.AnswerCut, "the caller left after %d tokens", s.Next)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		r = refusal.New(http.StatusGatewayTimeout, refusal.DeadlineTooShort, "the deadline passed after %d tokens", s.Next)
 	}
@@ -379,18 +388,19 @@
 	return r.WhichRan(refusal.DidRun)
 }
 
-// comeBack is when a caller may try a pool again whose endpoints failed. Grounds:
-// the outlier detector ejects a failing endpoint within a few answers, well within a second.
-const comeBack = time.Second
+// retryDelay is the delay after which a caller may retry in a pool whose endpoints
+// failed. The outlier detector ejects a failing endpoint within a few answers, well
+// within a second.
+const retryDelay = time.Second
 
-// failure is the refusal if no further attempt is made.
-func failure(o engine.Outcome, s *engine.Stream) *refusal.Refusal {
+// failureRefusal returns the refusal for the case that no further attempt is made.
+func failureRefusal(o engine.Outcome, s *engine.Stream) *refusal.Refusal {
 	switch {
 	case s.Next > 0:
 		return refusal.New(http.StatusBadGateway, refusal.AnswerCut, "the answer was cut after %d tokens: %v", s.Next, o.Err).WhichRan(refusal.DidRun)
-	case notRun(o.Result):
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint took the request: %v", o.Err).After(max(o.RetryAfter, comeBack))
+	case certainlyNotRun(o.Result):
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint took the request: %v", o.Err).After(max(o.RetryAfter, retryDelay))
 	default:
-		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint failed: %v", o.Err).WhichRan(refusal.Unknown).After(comeBack)
+		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint failed: %v", o.Err).WhichRan(refusal.Unknown).After(retryDelay)
 	}
 }
--- a/router/entry/choose.go
+++ b/router/entry/choose.go
@@ -13,9 +13,10 @@
 	"goldcrestfork/router/refusal"
 )
 
-// usable says whether the account may use a version of the model asked for now.
-// A name that is a version's own asks for just that one.
-func (c *chat) usable(s *config.Snapshot) func(string) bool {
+// usable returns a function that reports whether the account may use a version of the
+// requested model now. A requested name that is a version's own name matches only this
+// version.
+func (c *chatRequest) usable(s *config.Snapshot) func(string) bool {
 	return func(name string) bool {
 		v := s.Versions[name]
 		return v != nil &&
@@ -25,9 +26,10 @@
 	}
 }
 
-// choose fixes the version of a request: that of the stream it resumes, of its
-// session, or the one that the roll-out and the account's rights give.
-func (e *Entry) choose(ctx context.Context, c *chat) *refusal.Refusal {
+// chooseVersion sets the version of a request: the version of the stream that it
+// resumes, of its session, or the one that follows from the roll-out and the account's
+// rights.
+func (e *Entry) chooseVersion(ctx context.Context, c *chatRequest) *refusal.Refusal {
 	s := e.configuration.Snapshot()
 	usable := c.usable(s)
 	if c.resume != nil {
@@ -37,7 +39,7 @@
 		c.version = c.resume.Version
 		return nil
 	}
-	first, bad := e.first(c, s, usable)
+	first, bad := e.initialVersion(c, s, usable)
 	if bad != nil {
 		return bad
 	}
@@ -45,39 +47,39 @@
 	if c.Session == "" {
 		return nil
 	}
-	return e.pin(ctx, c, usable)
+	return e.pinSession(ctx, c, usable)
 }
 
-// first is the version for a request that has none yet.
-func (e *Entry) first(c *chat, s *config.Snapshot, usable func(string) bool) (rollout.Choice, *refusal.Refusal) {
+// initialVersion returns the version for a request without a stream or session.
+func (e *Entry) initialVersion(c *chatRequest, s *config.Snapshot, usable func(string) bool) (rollout.Choice, *refusal.Refusal) {
 	if r := rollout.Of(s, c.body.Model); r != nil {
 		choose := rollout.Choose
 		if c.Session == "" {
 			choose = e.brakes.Choose
 		}
-		if choice, ok := choose(r, c.key(), usable); ok {
+		if choice, ok := choose(r, c.rollOutKey(), usable); ok {
 			return choice, nil
 		}
 	}
 	if v := entryVersion(s, usable); v != "" {
 		return rollout.Choice{Version: v}, nil
 	}
-	return rollout.Choice{}, c.noVersion(s)
+	return rollout.Choice{}, c.noVersionRefusal(s)
 }
 
-// entryVersion is the usable version that no other usable one escalates to: the
-// cheap end of a cascade; among several the cheapest, then the first by name, so
-// that all VMs at one revision agree.
+// entryVersion returns the usable version to which no other usable version escalates,
+// i.e. the cheap end of a cascade. Among several it returns the cheapest, then the first
+// by name, so that all VMs at one revision agree. It returns "" if no version is usable.
 func entryVersion(s *config.Snapshot, usable func(string) bool) string {
 	var names []string
-	behind := make(map[string]bool)
+	isEscalation := make(map[string]bool)
 	for name, v := range s.Versions {
 		if usable(name) {
 			names = append(names, name)
-			behind[v.Cascade] = true
+			isEscalation[v.Cascade] = true
 		}
 	}
-	heads := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return behind[n] })
+	heads := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return isEscalation[n] })
 	if len(heads) == 0 {
 		heads = names
 	}
@@ -89,8 +91,9 @@
 	})
 }
 
-// noVersion tells a model that is not the account's from one that serves nobody now.
-func (c *chat) noVersion(s *config.Snapshot) *refusal.Refusal {
+// noVersionRefusal distinguishes a model that the account may not use from one without a
+// serving version.
+func (c *chatRequest) noVersionRefusal(s *config.Snapshot) *refusal.Refusal {
 	for v := range maps.Values(s.Versions) {
 		if (v.Model == c.body.Model || v.Name == c.body.Model) && c.Account.Versions.Matches(v.Labels) {
 			return refusal.New(http.StatusServiceUnavailable, refusal.NoVersion, "no version of %s that the account may use is serving", c.body.Model)
@@ -99,27 +102,27 @@
 	return refusal.New(http.StatusForbidden, refusal.ModelNotAllowed, "the account may not use model %q", c.body.Model)
 }
 
-// pin keeps a session on the version of its first answer. While the store is down
-// a new session takes the roll-out's choice, which depends on the session and the
-// configuration's revision alone: it can't change while the store is down, so that
-// every VM takes the same.
-func (e *Entry) pin(ctx context.Context, c *chat, usable func(string) bool) *refusal.Refusal {
+// pinSession keeps a session on the version of its first answer. While the store is down
+// a new session uses the roll-out's choice. This choice depends only on the session and
+// the configuration's revision, which can't change while the store is down, so every VM
+// makes the same choice.
+func (e *Entry) pinSession(ctx context.Context, c *chatRequest, usable func(string) bool) *refusal.Refusal {
 	session := pin.Session{Account: c.Account.Name, ID: c.Session}
-	p, err := e.sessions.Version(ctx, session, c.pinned, c.version, usable, c.Accepted)
+	p, err := e.sessions.Version(ctx, session, c.sentPin, c.version, usable, c.Accepted)
 	if err != nil {
-		return c.noVersion(e.configuration.Snapshot())
+		return c.noVersionRefusal(e.configuration.Snapshot())
 	}
 	e.metrics.pins.WithLabelValues(string(p.Source)).Inc()
 	if p.Version != c.version {
 		c.version, c.arm = p.Version, rollout.ArmNone
 	}
-	c.pin, c.moved = p.Token, p.Moved
+	c.newPin, c.moved = p.Token, p.Moved
 	return nil
 }
 
-// stillAllowed checks a request's version against the configuration of this moment.
-func (e *Entry) stillAllowed(c *chat, started bool) *refusal.Refusal {
-	if bad := e.takesWork(); bad != nil {
+// checkAllowed checks a request's version against the current configuration.
+func (e *Entry) checkAllowed(c *chatRequest, started bool) *refusal.Refusal {
+	if bad := e.checkAcceptsWork(); bad != nil {
 		return bad
 	}
 	s := e.configuration.Snapshot()
@@ -132,7 +135,7 @@
 		return refusal.New(http.StatusForbidden, refusal.ModelNotAllowed, "the account may not use version %q any more", c.version)
 	}
 	if v.State != config.VersionServing && !started {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoVersion, "version %q was withdrawn while the request waited", c.version).After(comeBack)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoVersion, "version %q was withdrawn while the request waited", c.version).After(retryDelay)
 	}
 	return nil
 }
--- a/router/entry/entry.go
+++ b/router/entry/entry.go
@@ -1,7 +1,7 @@
 // Package entry is the callers' API: completions (streamed or not), models, plain
-// services, and the question which address to use. Each request gets exactly one
-// final answer, at once when it is known: its result, or a refusal that says what
-// is known about the run and when coming back helps.
+// services, and the addresses of the VMs that a caller should use. Each request gets
+// exactly one final answer as soon as it is known: its result, or a refusal that states
+// what is known about the run and when a retry helps.
 //
 // Lock order: the package holds no lock across calls; its counters are leaves.
 package entry
@@ -29,37 +29,39 @@
 	"goldcrestfork/router/service"
 )
 
-// Configuration is the configuration in force on this VM.
+// Configuration provides the configuration in force on this VM.
 type Configuration interface {
-	// Snapshot is never nil; at revision 0 the VM has no configuration yet.
+	// Snapshot is never nil; its revision is 0 until the VM has a configuration.
 	Snapshot() *config.Snapshot
-	// Fresh is nil, or tells why this VM may have missed a change that matters and
+	// Fresh returns nil, or the reason why this VM may have missed a relevant change and
 	// must not take new work.
 	Fresh() error
 }
 
 // Sessions keeps sessions on their versions; see pin.Pins.
 type Sessions interface {
-	// Version gives a session's version: that of its token, or the one recorded first,
-	// or choice. It fails only when choice is empty.
+	// Version returns a session's version: the version of its token, the one recorded
+	// first, or choice. It fails only if choice is empty.
 	Version(ctx context.Context, s pin.Session, token, choice string, usable func(string) bool, now time.Time) (pin.Pin, error)
 }
 
-// Bills takes bills; it must not block.
+// Bills accepts bills. Add must not block.
 type Bills interface{ Add(bill.Bill) bool }
 
-// Address is one entry VM that callers may use.
+// Address is the address of a VM that callers may use.
 type Address struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre"`
 }
 
-// Addresses answers which VMs to use, best first, and for how long to keep the answer.
+// Addresses returns the VMs that an account should use, best first, and how long to keep
+// the answer.
 type Addresses interface {
 	Addresses(account, dataCentre string) ([]Address, time.Duration)
 }
 
-// Config wires an entry. All fields are required but where noted.
+// Config holds the dependencies and settings of an Entry. All fields are required unless
+// noted.
 type Config struct {
 	Configuration Configuration
 	Dispatch      *dispatch.Dispatcher
@@ -69,18 +71,19 @@
 	Sessions      Sessions
 	Bills         Bills
 	Addresses     Addresses
-	// Rater may be nil: cascades then go by the versions' expected quality.
+	// Rater may be nil; cascades then use the versions' expected quality.
 	Rater Rater
-	// Cascade sets the cascades' learner.
+	// Cascade holds the settings of the cascades' learner.
 	Cascade cascade.Settings
-	// Outcomes counts for the comparison of roll-outs.
+	// Outcomes records the outcomes that roll-outs are compared by.
 	Outcomes *rollout.Recorder
-	// Brakes keeps new work from versions found bad while the store is down.
+	// Brakes keeps new work from versions that were found bad while the store is down.
 	Brakes *rollout.Brakes
-	// WrongVersion is told of an endpoint that answered as another version than asked.
+	// WrongVersion is called with an endpoint that answered as another version than
+	// requested.
 	WrongVersion func(endpoint string)
 	Metrics      *Metrics
-	// Secret signs resume tokens; the same on all VMs, at least 32 bytes.
+	// Secret signs resume tokens. It is the same on all VMs and has at least 32 bytes.
 	Secret []byte
 }
 
@@ -106,11 +109,11 @@
 	running  atomic.Int64
 	buffered atomic.Int64
 	closed   atomic.Bool
-	// sampling admits the ratings that no answer waits for.
-	sampling chan struct{}
+	// ratingSlots bounds the concurrent ratings for which no answer waits.
+	ratingSlots chan struct{}
 }
 
-// New returns an entry.
+// New returns an Entry with the given dependencies.
 func New(c Config) *Entry {
 	return &Entry{
 		configuration: c.Configuration,
@@ -124,7 +127,7 @@
 		metrics:       c.Metrics,
 		signer:        signer{secret: c.Secret},
 		rater:         c.Rater,
-		sampling:      make(chan struct{}, maxSampling),
+		ratingSlots:   make(chan struct{}, maxBackgroundRatings),
 		learner:       cascade.NewLearner(c.Cascade),
 		ratingTimeout: c.Cascade.RatingTimeout,
 		brakes:        c.Brakes,
@@ -133,10 +136,10 @@
 	}
 }
 
-// Cascade is the cascades' part of the state dump.
+// Cascade returns the cascades' part of the state dump.
 func (e *Entry) Cascade() cascade.Dump { return e.learner.Dump() }
 
-// Handler serves the callers' API.
+// Handler returns the HTTP handler of the callers' API.
 func (e *Entry) Handler() http.Handler {
 	mux := flow.New()
 	mux.NotFound = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -145,15 +148,15 @@
 	mux.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.refuse(w, refusal.New(http.StatusMethodNotAllowed, refusal.NoSuchPath, "%s does not take %s", r.URL.Path, r.Method), "")
 	})
-	mux.HandleFunc("/v1/chat/completions", e.count(e.handleChat), http.MethodPost)
+	mux.HandleFunc("/v1/chat/completions", e.countRunning(e.handleChat), http.MethodPost)
 	mux.HandleFunc("/v1/models", e.handleModels, http.MethodGet)
 	mux.HandleFunc("/v1/addresses", e.handleAddresses, http.MethodGet)
-	mux.HandleFunc("/v1/services/:name/...", e.count(e.handleService))
+	mux.HandleFunc("/v1/services/:name/...", e.countRunning(e.handleService))
 	return mux
 }
 
-// count keeps the number of running requests, for the end of a planned stop.
-func (e *Entry) count(h http.HandlerFunc) http.HandlerFunc {
+// countRunning counts the running requests, whose end a planned stop waits for.
+func (e *Entry) countRunning(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.running.Add(1)
 		defer e.running.Add(-1)
@@ -161,36 +164,37 @@
 	}
 }
 
-// Running is the number of requests under way.
+// Running returns the number of requests in progress.
 func (e *Entry) Running() int { return int(e.running.Load()) }
 
-// Close refuses further requests; those under way go on. It comes at the end of a
-// planned stop, when every address answer that named this VM has run out.
+// Close refuses further requests; those in progress continue. It is called at the end of
+// a planned stop, when every address answer that named this VM has expired.
 func (e *Entry) Close() { e.closed.Store(true) }
 
-// takesWork refuses new work that this VM must not take.
-func (e *Entry) takesWork() *refusal.Refusal {
+// checkAcceptsWork returns a refusal if this VM must not take new work.
+func (e *Entry) checkAcceptsWork() *refusal.Refusal {
 	if e.configuration.Snapshot().Revision == 0 {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(comeBack)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(retryDelay)
 	}
 	if err := e.configuration.Fresh(); err != nil {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "the VM may have missed a change: %v", err).After(comeBack)
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "the VM may have missed a change: %v", err).After(retryDelay)
 	}
 	return nil
 }
 
-// open identifies a request's caller, unless this VM takes no new work.
-func (e *Entry) open(r *http.Request) (*Caller, *refusal.Refusal) {
+// admit authenticates a request's caller, or refuses the request if this VM takes no new
+// work.
+func (e *Entry) admit(r *http.Request) (*Caller, *refusal.Refusal) {
 	if e.closed.Load() {
-		return nil, refusal.New(http.StatusServiceUnavailable, refusal.Draining, "the VM is about to stop; ask for addresses").After(comeBack)
+		return nil, refusal.New(http.StatusServiceUnavailable, refusal.Draining, "the VM is about to stop; ask for addresses").After(retryDelay)
 	}
-	if bad := e.takesWork(); bad != nil {
+	if bad := e.checkAcceptsWork(); bad != nil {
 		return nil, bad
 	}
 	return identify(r, e.configuration.Snapshot(), time.Now())
 }
 
-// refuse sends a final refusal.
+// refuse sends and counts a final refusal.
 func (e *Entry) refuse(w http.ResponseWriter, r *refusal.Refusal, requestID string) {
 	r.RequestID = requestID
 	e.metrics.refusals.WithLabelValues(string(r.Code), string(r.Ran)).Inc()
@@ -208,9 +212,9 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// handleModels lists the models that the account may use and that are serving.
+// handleModels lists the models that are serving and that the account may use.
 func (e *Entry) handleModels(w http.ResponseWriter, r *http.Request) {
-	caller, bad := e.open(r)
+	caller, bad := e.admit(r)
 	if bad != nil {
 		e.refuse(w, bad, "")
 		return
@@ -234,12 +238,12 @@
 	KeepSeconds int `json:"keepSeconds"`
 }
 
-// handleAddresses answers which VMs to use. A VM that takes no new work answers
-// too: the others' addresses are what its callers need then.
+// handleAddresses returns the VMs to use. A VM that takes no new work answers as well,
+// since its callers then need the other VMs' addresses.
 func (e *Entry) handleAddresses(w http.ResponseWriter, r *http.Request) {
 	s := e.configuration.Snapshot()
 	if s.Revision == 0 {
-		e.refuse(w, refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(comeBack), "")
+		e.refuse(w, refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(retryDelay), "")
 		return
 	}
 	caller, bad := identify(r, s, time.Now())
@@ -257,27 +261,28 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone is no error of ours.
+	// An error means that the caller disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// spent is what a step cost, in micro-units: what was generated is paid for,
-// whether the caller gets to see it or not.
-func (e *Entry) spent(fin end) int64 {
+// stepCost returns the cost of a step in micro-units. Generated tokens are charged
+// whether or not the caller receives them.
+func (e *Entry) stepCost(fin requestEnd) int64 {
 	v := e.configuration.Snapshot().Versions[fin.version]
 	if v == nil {
 		return 0
 	}
-	return costOf(v, fin.tokens())
+	return tokenCost(v, fin.tokens())
 }
 
-// tokens is the number of tokens generated.
-func (fin end) tokens() int64 {
+// tokens returns the number of tokens generated.
+func (fin requestEnd) tokens() int64 {
 	return cmp.Or(fin.stream.Usage.CompletionTokens, int64(fin.stream.Next))
 }
 
-// bill records one request's work over all its steps and attempts, if there was any.
-func (e *Entry) bill(c *chat, fin end) {
+// bill records the work of one request over all its steps and attempts, if there was
+// any.
+func (e *Entry) bill(c *chatRequest, fin requestEnd) {
 	if fin.cost == 0 && fin.tokens() == 0 {
 		return
 	}
@@ -292,14 +297,15 @@
 	})
 }
 
-// costOf is the price of so many output tokens, in micro-units, rounded up.
-func costOf(v *config.ModelVersion, tokens int64) int64 { return (v.Cost*tokens + 999) / 1000 }
+// tokenCost returns the price of a number of output tokens in micro-units, rounded up.
+func tokenCost(v *config.ModelVersion, tokens int64) int64 { return (v.Cost*tokens + 999) / 1000 }
 
-func (e *Entry) billPlain(p *plain) {
+func (e *Entry) billPlain(p *plainRequest) {
 	e.bills.Add(bill.Bill{Account: p.Account.Name, Request: billID(p.Caller), Accepted: p.Accepted, Version: p.service})
 }
 
-// billID is the same for every send of one action.
+// billID returns an id that is the same for every send of one action, so that the action
+// is billed once.
 func billID(c *Caller) string {
 	if c.Key != "" {
 		return "key/" + c.Key
--- a/router/entry/fuzz_test.go
+++ b/router/entry/fuzz_test.go
@@ -17,7 +17,8 @@
 	accountHash = "9da92bdeb13f848d5befd8c992e7ce062b94e8d17288c6c3cb3392b19ea101bf"
 )
 
-// Whatever a body holds, a request that is taken names a model and has a prompt.
+// FuzzParseChat checks that an accepted request names a model and has a prompt, whatever
+// its body holds.
 func FuzzParseChat(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}]}`, `{"model":"","messages":[1]}`, `{"model":"m","messages":null}`, `{"model":"m"}`,
@@ -34,12 +35,12 @@
 		}
 		require.NotEmpty(t, c.body.Model)
 		require.NotContains(t, []string{"", "null"}, string(c.body.Messages))
-		require.GreaterOrEqual(t, c.size(), 0.0)
+		require.GreaterOrEqual(t, c.expectedTokens(), 0.0)
 		require.LessOrEqual(t, len(c.prefix), maxBlocks)
 	})
 }
 
-// Only a token that the VMs signed is read, whatever it claims.
+// FuzzResumeToken checks that only a token signed with the VMs' secret is accepted.
 func FuzzResumeToken(f *testing.F) {
 	s := signer{secret: []byte("a secret of at least thirty-two bytes")}
 	signed := resumeToken{RequestID: "r", Account: "baker", Version: "v", Endpoint: "e", EngineID: "i", Accepted: 7}
@@ -58,8 +59,9 @@
 	require.Equal(f, signed, read)
 }
 
-// Whatever a request's headers hold: only the right key names the account, no caller
-// lifts itself to a higher class, and deadline and names stay within their bounds.
+// FuzzHeaders checks with arbitrary headers that only the right key identifies the
+// account, that no caller raises its priority class, and that deadline and names stay
+// within bounds.
 func FuzzHeaders(f *testing.F) {
 	snapshot := &config.Snapshot{Accounts: map[string]*config.ClientAccount{
 		"baker": {Meta: config.Meta{Name: "baker"}, KeyHashes: []string{accountHash}, Class: config.ClassInteractive},
@@ -85,6 +87,6 @@
 		require.Equal(t, "Bearer "+accountKey, authorization)
 		require.GreaterOrEqual(t, c.Class, config.ClassInteractive)
 		require.True(t, c.Deadline.After(now) && !c.Deadline.After(now.Add(MaxDeadline)))
-		require.LessOrEqual(t, max(len(c.Session), len(c.Key)), maxKey)
+		require.LessOrEqual(t, max(len(c.Session), len(c.Key)), maxNameBytes)
 	})
 }
--- a/router/entry/hedge.go
+++ b/router/entry/hedge.go
@@ -9,30 +9,30 @@
 	"goldcrestfork/router/service"
 )
 
-// called is how one of two attempts ended.
-type called struct {
+// callEnd is the end of one of two parallel attempts.
+type callEnd struct {
 	answer service.Answer
 	result service.Result
 	err    error
 }
 
-// callHedged makes a call, and beside a slow one a second at another endpoint.
+// callHedged makes a call and, if it is slow, a second one at another endpoint in
+// parallel. The first answer is used; the other call is cancelled and not counted
+// against its endpoint.
 //
-// Load pattern: look-ups that cannot wait, before endpoints of which one is slow
-// for a while. Without it each look-up that meets the slow one waits for it. Only
-// for calls that may be repeated and can't wait: a hedge is extra work, paid from
-// the retry budget. The first answer wins; the other call is cut off, which is held
-// against nobody.
-func (e *Entry) callHedged(ctx context.Context, p *plain, t *dispatch.Ticket) (service.Answer, service.Result, error) {
+// Load pattern: calls of class immediate while one endpoint is slow. Without a hedge
+// each call sent to this endpoint waits for it. A hedge is extra work that is charged to
+// the retry budget, so it is only made for idempotent calls of class immediate.
+func (e *Entry) callHedged(ctx context.Context, p *plainRequest, t *dispatch.Ticket) (service.Answer, service.Result, error) {
 	if !p.idempotent || p.Class != config.ClassImmediate {
-		return e.callOnce(ctx, p, t)
+		return e.runCall(ctx, p, t)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan called, 2)
+	ends := make(chan callEnd, 2)
 	run := func(t *dispatch.Ticket) {
-		answer, result, err := e.callOnce(ctx, p, t)
-		ends <- called{answer, result, err}
+		answer, result, err := e.runCall(ctx, p, t)
+		ends <- callEnd{answer, result, err}
 	}
 	slow := time.NewTimer(e.dispatch.HedgeAfter(t))
 	defer slow.Stop()
--- a/router/entry/metrics.go
+++ b/router/entry/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts what callers get.
+// Metrics counts the answers and refusals sent to callers and the decisions behind them.
 type Metrics struct {
 	answers  *prometheus.CounterVec
 	refusals *prometheus.CounterVec
@@ -20,7 +20,7 @@
 	m := &Metrics{
 		answers: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_answers_total",
-			Help: "Whole answers by kind.",
+			Help: "Complete answers by kind.",
 		}, []string{"kind"}),
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_refusals_total",
@@ -28,11 +28,11 @@
 		}, []string{"code", "ran"}),
 		pins: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_session_pins_total",
-			Help: "Sessions' versions by where they came from; hash means that the platform's store was down.",
+			Help: "Versions of sessions by their source; hash means that the platform's store was down.",
 		}, []string{"source"}),
 		claims: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_claims_total",
-			Help: "Requests with an Idempotency-Key by what became of their claim.",
+			Help: "Requests with an Idempotency-Key by the outcome of their claim.",
 		}, []string{"outcome"}),
 		cascade: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_cascade_steps_total",
--- a/router/entry/once.go
+++ b/router/entry/once.go
@@ -14,47 +14,49 @@
 	"goldcrestfork/router/service"
 )
 
-// ClaimState is how a claim stands when a request asks for it.
+// ClaimState is the state of a claim at the time of a request for it.
 type ClaimState int
 
 // The states of a claim.
 const (
-	// ClaimMine: this request may be dispatched, once.
+	// ClaimMine: the claim is granted to this request, which may be dispatched once.
 	ClaimMine ClaimState = iota
-	// ClaimDone: an earlier send ran; its answer is recorded, if it wasn't too long.
+	// ClaimDone: an earlier send ran; its answer is recorded unless it was too long.
 	ClaimDone
 	// ClaimOpen: an earlier send holds the claim and may still finish.
 	ClaimOpen
-	// ClaimUnknown: an earlier send may have run; nobody can tell.
+	// ClaimUnknown: an earlier send may have run; its outcome can't be determined.
 	ClaimUnknown
-	// ClaimOtherBody: the key was used for another request.
+	// ClaimOtherBody: the key was used for a different request.
 	ClaimOtherBody
 )
 
-// Claim is one request's hold on its key.
+// Claim is a request's claim on its Idempotency-Key.
 type Claim struct {
 	State ClaimState
-	// Answer is the recorded answer of ClaimDone; nil when it was too long to keep.
+	// Answer is the recorded answer of ClaimDone; nil if it was too long to keep.
 	Answer []byte
-	// Handle is the claims' own.
+	// Handle is private to the implementation of Claims.
 	Handle any
 }
 
-// ErrClaimsDown: nothing was claimed and nothing could be read.
+// ErrClaimsDown is returned if the store does not answer: no key was claimed and no
+// state could be read.
 var ErrClaimsDown = errors.New("the platform's store does not answer")
 
-// Claims decides which send of a request runs. Finish and CloseNotRun keep at it
-// in the background when the store is down; they return at once then.
+// Claims decides which send of a request runs. While the store is down, Finish and
+// CloseNotRun return at once and keep trying in the background.
 type Claims interface {
 	// Begin claims a key durably. After an error the request must not be dispatched.
 	Begin(ctx context.Context, account, key string, body []byte) (Claim, error)
-	// Finish records the outcome: the answer, or with answer nil that it is unknown.
+	// Finish records the outcome: the answer, or, if answer is nil, that the outcome is
+	// unknown.
 	Finish(ctx context.Context, c Claim, answer []byte)
 	// CloseNotRun records that certainly no byte was sent; the key may be claimed again.
 	CloseNotRun(ctx context.Context, c Claim)
 }
 
-// recorded is an answer as kept for repeats.
+// recorded is an answer as stored for repeated sends.
 type recorded struct {
 	Status  int         `cbor:"1,keyasint"`
 	Header  http.Header `cbor:"2,keyasint,omitempty"`
@@ -62,13 +64,13 @@
 	Version string      `cbor:"4,keyasint,omitempty"`
 }
 
-// claim begins a keyed request. Without a refusal it is this request's to dispatch,
-// or the recorded answer is returned.
+// claim claims the key of a request. It returns a refusal, the recorded answer of an
+// earlier send, or neither, in which case this request is to be dispatched.
 func (e *Entry) claim(ctx context.Context, c *Caller, body []byte) (Claim, *recorded, *refusal.Refusal) {
 	claim, err := e.claims.Begin(ctx, c.Account.Name, c.Key, body)
 	if err != nil {
 		e.metrics.claims.WithLabelValues("store-down").Inc()
-		return claim, nil, storeDown(c)
+		return claim, nil, storeDownRefusal(c)
 	}
 	switch claim.State {
 	case ClaimMine:
@@ -76,10 +78,10 @@
 		return claim, nil, nil
 	case ClaimDone:
 		e.metrics.claims.WithLabelValues("repeat").Inc()
-		return replay(claim)
+		return recordedAnswer(claim)
 	case ClaimOpen:
 		e.metrics.claims.WithLabelValues("in-progress").Inc()
-		return claim, nil, refusal.New(http.StatusConflict, refusal.InProgress, "an earlier send of this key is under way").WhichRan(refusal.Unknown).After(comeBack)
+		return claim, nil, refusal.New(http.StatusConflict, refusal.InProgress, "an earlier send of this key is under way").WhichRan(refusal.Unknown).After(retryDelay)
 	case ClaimOtherBody:
 		e.metrics.claims.WithLabelValues("other-body").Inc()
 		return claim, nil, refusal.New(http.StatusUnprocessableEntity, refusal.KeyReused, "the key was used for another request")
@@ -89,12 +91,12 @@
 	}
 }
 
-// storeDown refuses a keyed request while its claim can't be written. This send
-// did not run; but an earlier send of the key may have, and a caller that is told
-// "not run" then would book the action a second time elsewhere. Only a caller
-// that says this is its first send can be told for certain.
-func storeDown(c *Caller) *refusal.Refusal {
-	r := refusal.New(http.StatusServiceUnavailable, refusal.StoreDown, "the claim can't be recorded now; this send was not run").After(storeRetry)
+// storeDownRefusal refuses a keyed request while its claim can't be written. This send
+// did not run, but an earlier send of the key may have: a caller that is told "not run"
+// might then perform the action a second time elsewhere. Only a caller that declares its
+// first send is told "not run".
+func storeDownRefusal(c *Caller) *refusal.Refusal {
+	r := refusal.New(http.StatusServiceUnavailable, refusal.StoreDown, "the claim can't be recorded now; this send was not run").After(storeRetryDelay)
 	if !c.FirstSend {
 		r.Detail += "; whether an earlier send of the key ran can't be read (send " + HeaderAttempt + ": 1 with a first send)"
 		r.Ran = refusal.Unknown
@@ -102,12 +104,13 @@
 	return r
 }
 
-// storeRetry is when to come back while the store is down. Grounds: it answers in
-// milliseconds when it is up, and its outages are long (brief); a few seconds
-// find its end soon without a crowd at the door.
-const storeRetry = 5 * time.Second
+// storeRetryDelay is the delay after which callers may retry while the store is down.
+// The store answers in milliseconds when it is up, and its outages are long; a few
+// seconds detect their end soon without a burst of retries.
+const storeRetryDelay = 5 * time.Second
 
-func replay(claim Claim) (Claim, *recorded, *refusal.Refusal) {
+// recordedAnswer decodes the recorded answer of a claim.
+func recordedAnswer(claim Claim) (Claim, *recorded, *refusal.Refusal) {
 	var r recorded
 	if claim.Answer == nil || cbor.Unmarshal(claim.Answer, &r) != nil {
 		return claim, nil, refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the request ran once; its answer was too long to keep").WhichRan(refusal.DidRun)
@@ -115,13 +118,13 @@
 	return claim, &r, nil
 }
 
-// settle records how a keyed request ended.
-func (e *Entry) settle(ctx context.Context, claim Claim, bad *refusal.Refusal, answer *recorded) {
-	// The outcome outlives the caller's patience.
+// settleClaim records how a keyed request ended.
+func (e *Entry) settleClaim(ctx context.Context, claim Claim, bad *refusal.Refusal, answer *recorded) {
+	// The outcome is recorded even if the caller has disconnected.
 	ctx = context.WithoutCancel(ctx)
 	switch {
 	case bad == nil:
-		// The struct holds only plain values; encoding cannot fail.
+		// The struct holds only plain values, so encoding can't fail.
 		raw, _ := cbor.Marshal(answer)
 		e.claims.Finish(ctx, claim, raw)
 	case bad.Ran == refusal.NotRun:
@@ -132,7 +135,7 @@
 }
 
 // plainOnce runs a call of a plain service that may run at most once.
-func (e *Entry) plainOnce(ctx context.Context, w http.ResponseWriter, p *plain) *refusal.Refusal {
+func (e *Entry) plainOnce(ctx context.Context, w http.ResponseWriter, p *plainRequest) *refusal.Refusal {
 	claim, earlier, bad := e.claim(ctx, p.Caller, claimBody(p.method+" "+p.service+p.path, p.body))
 	if bad != nil {
 		return bad
@@ -143,8 +146,8 @@
 		return nil
 	}
 	answer, bad := e.callService(ctx, p)
-	keep := recorded{Status: answer.Status, Header: keptHeader(answer.Header), Body: answer.Body}
-	e.settle(ctx, claim, bad, &keep)
+	keep := recorded{Status: answer.Status, Header: filterHeader(answer.Header), Body: answer.Body}
+	e.settleClaim(ctx, claim, bad, &keep)
 	if bad != nil {
 		return bad
 	}
@@ -154,14 +157,15 @@
 	return nil
 }
 
-// claimBody is what must be the same in each send of a key.
+// claimBody returns the content that must be identical in each send of a key.
 func claimBody(target string, body []byte) []byte {
 	return append([]byte(target+"\x00"), body...)
 }
 
-func keptHeader(h http.Header) http.Header {
+// filterHeader returns the headers of a service's answer that the caller receives.
+func filterHeader(h http.Header) http.Header {
 	out := http.Header{}
-	for _, k := range passed {
+	for _, k := range passedHeaders {
 		if v := h.Values(k); len(v) > 0 {
 			out[k] = v
 		}
@@ -169,9 +173,9 @@
 	return out
 }
 
-// chatOnce runs a completion with an Idempotency-Key: the first send runs, each
-// repeat gets the recorded answer.
-func (e *Entry) chatOnce(ctx context.Context, c *chat, a *answer) *refusal.Refusal {
+// chatOnce runs a completion with an Idempotency-Key: the first send runs, and each
+// repeated send gets the recorded answer.
+func (e *Entry) chatOnce(ctx context.Context, c *chatRequest, a *answer) *refusal.Refusal {
 	claim, earlier, bad := e.claim(ctx, c.Caller, claimBody("chat", c.raw))
 	if bad != nil {
 		return bad
@@ -179,24 +183,24 @@
 	if earlier != nil {
 		return a.replay(earlier)
 	}
-	plan, bad := e.plan(c)
+	plan, bad := e.planSteps(c)
 	if bad != nil {
 		e.claims.CloseNotRun(context.WithoutCancel(ctx), claim)
 		return bad
 	}
-	fin := e.cascaded(ctx, c, a, plan)
+	fin := e.runCascade(ctx, c, a, plan)
 	var keep recorded
 	if fin.refusal == nil {
-		// A completion always encodes.
+		// Encoding a completion can't fail.
 		body, _ := json.Marshal(newCompletion(c, fin.stream))
 		keep = recorded{Status: http.StatusOK, Body: body, Version: c.version}
 	}
-	e.settle(ctx, claim, fin.refusal, &keep)
+	e.settleClaim(ctx, claim, fin.refusal, &keep)
 	e.bill(c, fin)
 	return e.finish(a, fin)
 }
 
-// replay answers with what an earlier send got.
+// replay sends the recorded answer of an earlier send.
 func (a *answer) replay(r *recorded) *refusal.Refusal {
 	a.w.Header().Set(HeaderReplayed, "true")
 	a.c.version = r.Version
@@ -205,16 +209,16 @@
 		return refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the recorded answer can't be read").WhichRan(refusal.DidRun)
 	}
 	if !a.c.body.Stream {
-		a.head()
+		a.setHeaders()
 		a.w.Header().Set("Content-Type", "application/json")
 		_, _ = a.w.Write(r.Body)
 		return nil
 	}
 	s := &engine.Stream{Finish: doc.Choices[0].FinishReason, Usage: doc.Usage}
 	f := engine.WholeFrame(doc.ID, doc.Choices[0].Message.Content, s.Finish, s.Usage)
-	a.c.sign = nil
-	if err := a.frame(f); err != nil {
+	a.c.signResume = nil
+	if err := a.writeFrame(f); err != nil {
 		return nil
 	}
-	return a.finish(end{stream: s})
+	return a.finish(requestEnd{stream: s})
 }
--- a/router/entry/outcomes.go
+++ b/router/entry/outcomes.go
@@ -9,65 +9,67 @@
 	"goldcrestfork/router/engine"
 )
 
-// slowFirstToken is the bound on the first token in a roll-out's comparison: the
-// letter asks for 1.1 s at p95.
+// slowFirstToken is the time to the first token above which an answer counts as slow in
+// a roll-out's comparison. The target is 1.1 s at p95.
 const slowFirstToken = 1100 * time.Millisecond
 
-// outcomes tells the roll-outs' comparison how requests ended.
+// outcomes records how requests ended for the comparison of roll-outs.
 type outcomes struct{ recorder *rollout.Recorder }
 
-// key is what the roll-out's choice was made by.
-func (c *chat) key() string { return cmp.Or(c.Session, c.RequestID) }
+// rollOutKey returns the key by which the roll-out's choice was made.
+func (c *chatRequest) rollOutKey() string { return cmp.Or(c.Session, c.RequestID) }
 
-// ended records one attempt that says something of its version.
-func (o outcomes) ended(c *chat, out engine.Outcome) {
+// recordAttempt records an attempt whose result depends on its version.
+func (o outcomes) recordAttempt(c *chatRequest, out engine.Outcome) {
 	switch out.Result {
 	case engine.Complete, engine.Failed, engine.Crashed, engine.WrongVersion, engine.Cut:
 	default:
-		// Full, cold or unreached endpoints and callers that left are not the version's doing.
+		// Endpoints that are at capacity, cold or unreachable, and callers that
+		// disconnect, do not depend on the version.
 		return
 	}
 	if c.rollOut == nil || c.arm == rollout.ArmNone {
 		return
 	}
-	o.recorder.Request(c.rollOut, c.arm, c.key(), rollout.Outcome{
+	o.recorder.Request(c.rollOut, c.arm, c.rollOutKey(), rollout.Outcome{
 		Failed: out.Result != engine.Complete,
 		Slow:   out.FirstToken > slowFirstToken,
 	})
 }
 
-// rated records an answer's rating.
-func (o outcomes) rated(c *chat, rating float64) {
+// recordRating records an answer's rating.
+func (o outcomes) recordRating(c *chatRequest, rating float64) {
 	c.rated = true
 	if c.rollOut == nil || c.arm == rollout.ArmNone {
 		return
 	}
-	o.recorder.Rating(c.rollOut, c.arm, c.key(), rating < cmp.Or(c.Account.Quality, defaultTarget))
+	o.recorder.Rating(c.rollOut, c.arm, c.rollOutKey(), rating < cmp.Or(c.Account.Quality, defaultQualityTarget))
 }
 
-// defaultTarget is the quality below which an answer counts as poor for an account
+// defaultQualityTarget is the rating below which an answer counts as poor for an account
 // without a target: the middle of the scale.
-const defaultTarget = 0.5
+const defaultQualityTarget = 0.5
 
-// maxSampling bounds the ratings asked for at once that no answer waits for. A
-// rating service that is slow costs a roll-out some samples, never a request's time.
-const maxSampling = 8
+// maxBackgroundRatings bounds the concurrent ratings for which no answer waits. A slow
+// rating service costs a roll-out some samples, but does not delay requests.
+const maxBackgroundRatings = 8
 
-// sample has a whole answer of a roll-out's comparison rated that no cascade had
-// rated, without making its caller wait. A roll-out can't go on without ratings.
-func (e *Entry) sample(ctx context.Context, c *chat, fin end) {
+// rateInBackground has a complete answer rated if it counts in a roll-out's comparison
+// and no cascade had it rated. The caller does not wait for it. A roll-out can't proceed
+// without ratings.
+func (e *Entry) rateInBackground(ctx context.Context, c *chatRequest, fin requestEnd) {
 	if e.rater == nil || c.rated || c.arm == rollout.ArmNone || fin.refusal != nil {
 		return
 	}
 	select {
-	case e.sampling <- struct{}{}:
+	case e.ratingSlots <- struct{}{}:
 	default:
 		return
 	}
 	ctx = context.WithoutCancel(ctx)
 	go func() {
-		defer func() { <-e.sampling }()
-		// Without a rating there is one sample less.
+		defer func() { <-e.ratingSlots }()
+		// Without a rating the comparison has one sample less.
 		_, _ = e.rate(ctx, c, fin)
 	}()
 }
--- a/router/entry/plain.go
+++ b/router/entry/plain.go
@@ -11,8 +11,8 @@
 	"goldcrestfork/router/service"
 )
 
-// plain is one call of a plain service on its way.
-type plain struct {
+// plainRequest is one call of a plain service in progress.
+type plainRequest struct {
 	*Caller
 	service    string
 	method     string
@@ -24,18 +24,18 @@
 
 // handleService serves /v1/services/{name}/… .
 func (e *Entry) handleService(w http.ResponseWriter, r *http.Request) {
-	caller, bad := e.open(r)
+	caller, bad := e.admit(r)
 	if bad != nil {
 		e.refuse(w, bad, "")
 		return
 	}
 	w.Header().Set(HeaderRequestID, caller.RequestID)
-	if bad := e.plainCall(w, r, caller); bad != nil {
+	if bad := e.servePlain(w, r, caller); bad != nil {
 		e.refuse(w, bad, caller.RequestID)
 	}
 }
 
-func (e *Entry) plainCall(w http.ResponseWriter, r *http.Request, caller *Caller) *refusal.Refusal {
+func (e *Entry) servePlain(w http.ResponseWriter, r *http.Request, caller *Caller) *refusal.Refusal {
 	p, bad := e.parsePlain(r, caller)
 	if bad != nil {
 		return bad
@@ -62,14 +62,14 @@
 }
 
 // parsePlain checks a call against the services' declarations.
-func (e *Entry) parsePlain(r *http.Request, caller *Caller) (*plain, *refusal.Refusal) {
+func (e *Entry) parsePlain(r *http.Request, caller *Caller) (*plainRequest, *refusal.Refusal) {
 	s := e.configuration.Snapshot()
 	name := r.PathValue("name")
 	svc := s.Services[name]
 	if svc == nil || !caller.Account.Services.Matches(svc.Labels) {
 		return nil, refusal.New(http.StatusForbidden, refusal.ServiceNotAllowed, "the account may not call service %q", name)
 	}
-	p := &plain{Caller: caller, service: name, method: r.Method, path: "/" + r.PathValue("...")}
+	p := &plainRequest{Caller: caller, service: name, method: r.Method, path: "/" + r.PathValue("...")}
 	call := findCall(svc, p.method, p.path)
 	if call == nil {
 		return nil, refusal.New(http.StatusNotFound, refusal.CallNotDeclared, "service %s declares no call %s %s", name, p.method, p.path)
@@ -91,7 +91,7 @@
 	return p, nil
 }
 
-// findCall returns the declaration that covers a call; the longest path goes first.
+// findCall returns the declaration that matches a call; the longest path has priority.
 func findCall(svc *config.Service, method, path string) *config.Call {
 	var best *config.Call
 	for i := range svc.Calls {
@@ -104,9 +104,9 @@
 	return best
 }
 
-// callService makes attempts until there is an answer. A call that may not be
-// repeated is sent to a second endpoint only when no byte left for the first.
-func (e *Entry) callService(ctx context.Context, p *plain) (service.Answer, *refusal.Refusal) {
+// callService makes attempts until there is an answer. A call that may not be repeated
+// is sent to a second endpoint only if no byte was sent to the first.
+func (e *Entry) callService(ctx context.Context, p *plainRequest) (service.Answer, *refusal.Refusal) {
 	n := p.need()
 	ran := refusal.NotRun
 	for {
@@ -121,9 +121,9 @@
 		if result == service.Unknown {
 			ran = refusal.Unknown
 		}
-		bad = refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the call failed: %v", err).WhichRan(ran).After(comeBack)
+		bad = refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the call failed: %v", err).WhichRan(ran).After(retryDelay)
 		if result == service.Unknown && !p.idempotent {
-			// It may have run; to send it again could run it twice.
+			// The call may have run; sending it again could run it twice.
 			bad.Code, bad.RetryAfter = refusal.OutcomeUnknown, 0
 			return service.Answer{}, bad
 		}
@@ -134,14 +134,15 @@
 	}
 }
 
-// acquirePlain waits for an endpoint, for a caller that still waits itself.
-func (e *Entry) acquirePlain(ctx context.Context, p *plain, n *dispatch.Need) (*dispatch.Ticket, *refusal.Refusal) {
+// acquirePlain waits for an endpoint. It refuses the call if its caller has
+// disconnected.
+func (e *Entry) acquirePlain(ctx context.Context, p *plainRequest, n *dispatch.Need) (*dispatch.Ticket, *refusal.Refusal) {
 	t, bad := e.dispatch.Acquire(ctx, n)
 	if bad != nil {
 		return nil, bad
 	}
-	if bad = e.plainStillAllowed(p); bad == nil && ctx.Err() != nil {
-		bad = refusal.New(statusClosed, refusal.DeadlineTooShort, "the caller left before the call was sent")
+	if bad = e.checkPlainAllowed(p); bad == nil && ctx.Err() != nil {
+		bad = refusal.New(statusClientClosedRequest, refusal.DeadlineTooShort, "the caller left before the call was sent")
 	}
 	if bad != nil {
 		t.Cancel()
@@ -150,10 +151,10 @@
 	return t, nil
 }
 
-// callOnce makes one call. One that may not be repeated goes on when its caller
-// leaves: cut off, its outcome would be unknown for good, while its answer, once
-// recorded, is there for the caller's next send.
-func (e *Entry) callOnce(ctx context.Context, p *plain, t *dispatch.Ticket) (service.Answer, service.Result, error) {
+// runCall makes one call. A call that may not be repeated continues when its caller
+// disconnects: if it were cancelled, its outcome would stay unknown, whereas its
+// recorded answer is available to the caller's next send.
+func (e *Entry) runCall(ctx context.Context, p *plainRequest, t *dispatch.Ticket) (service.Answer, service.Result, error) {
 	if !p.idempotent {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), p.Deadline)
@@ -173,8 +174,8 @@
 	return answer, result, err
 }
 
-func (e *Entry) plainStillAllowed(p *plain) *refusal.Refusal {
-	if bad := e.takesWork(); bad != nil {
+func (e *Entry) checkPlainAllowed(p *plainRequest) *refusal.Refusal {
+	if bad := e.checkAcceptsWork(); bad != nil {
 		return bad
 	}
 	s := e.configuration.Snapshot()
@@ -185,7 +186,7 @@
 	return nil
 }
 
-func (p *plain) need() *dispatch.Need {
+func (p *plainRequest) need() *dispatch.Need {
 	return &dispatch.Need{
 		RequestID:  p.RequestID,
 		Account:    p.Account,
@@ -197,11 +198,11 @@
 	}
 }
 
-// passed are the headers of a service's answer that the caller gets.
-var passed = [...]string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Cache-Control"}
+// passedHeaders are the headers of a service's answer that the caller receives.
+var passedHeaders = [...]string{"Content-Type", "Content-Language", "Etag", "Last-Modified", "Location", "Cache-Control"}
 
 func writeAnswer(w http.ResponseWriter, a service.Answer) {
-	for _, k := range passed {
+	for _, k := range passedHeaders {
 		if v := a.Header.Values(k); len(v) > 0 {
 			w.Header()[k] = v
 		}
--- a/router/entry/request.go
+++ b/router/entry/request.go
@@ -15,41 +15,56 @@
 	"goldcrestfork/router/refusal"
 )
 
-// Headers of the callers' API beside HTTP's own.
+// Headers of the callers' API in addition to the standard headers of HTTP.
 const (
+	// HeaderIdempotencyKey is the caller's key for an action that must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderAttempt is "1" on a caller's first send of a key; it lets a VM that
-	// can't read the store say "not run" for certain.
-	HeaderAttempt   = "X-Attempt"
-	HeaderSession   = "X-Session"
-	HeaderPin       = "X-Session-Pin"
-	HeaderDeadline  = "X-Deadline-Ms"
-	HeaderPriority  = "X-Priority"
+	// HeaderAttempt is "1" on a caller's first send of a key. It allows a VM that can't
+	// read the store to answer "not run" with certainty.
+	HeaderAttempt = "X-Attempt"
+	// HeaderSession is the caller's session id.
+	HeaderSession = "X-Session"
+	// HeaderPin is the signed token of a session's version; the caller returns it with
+	// the session's next request.
+	HeaderPin = "X-Session-Pin"
+	// HeaderDeadline is the time within which the caller wants the answer, in
+	// milliseconds.
+	HeaderDeadline = "X-Deadline-Ms"
+	// HeaderPriority is the requested priority class.
+	HeaderPriority = "X-Priority"
+	// HeaderRequestID is the request's id in an answer.
 	HeaderRequestID = "X-Request-Id"
-	HeaderVersion   = "X-Model-Version"
-	HeaderMoved     = "X-Session-Moved"
-	HeaderResume    = "X-Resume-Token"
-	HeaderPosition  = "X-Resume-From"
-	HeaderReplayed  = "X-Replayed"
+	// HeaderVersion is the model version that answered.
+	HeaderVersion = "X-Model-Version"
+	// HeaderMoved is the version that the session had to leave because it may not be
+	// used any more.
+	HeaderMoved = "X-Session-Moved"
+	// HeaderResume is the token with which a stream is resumed.
+	HeaderResume = "X-Resume-Token"
+	// HeaderPosition is the id of the last event that the caller received.
+	HeaderPosition = "X-Resume-From"
+	// HeaderReplayed is "true" if the answer is the recorded one of an earlier send.
+	HeaderReplayed = "X-Replayed"
 )
 
 const (
-	// DefaultDeadline is taken when a caller names none. Grounds: interactive
-	// readers leave within a minute; deferrable work names its own.
+	// DefaultDeadline applies if a caller sets none. Interactive readers leave within a
+	// minute; deferrable work sets its own deadline.
 	DefaultDeadline = 60 * time.Second
-	// MaxDeadline bounds what a caller may name; beyond it a queue would hold
-	// requests longer than a VM lives on an ordinary day of replacements.
+	// MaxDeadline bounds the deadline that a caller may set. Beyond it a queue would
+	// hold requests for longer than a VM runs on an ordinary day of replacements.
 	MaxDeadline = 30 * time.Minute
-	// maxKey bounds caller-chosen names (keys, sessions), in bytes.
-	maxKey = 256
+	// maxNameBytes bounds names chosen by callers (keys, sessions), in bytes.
+	maxNameBytes = 256
 )
 
-// Caller is an authenticated request's common part.
+// Caller is the part of an authenticated request that all kinds of requests share.
 type Caller struct {
-	// RequestID is made here: a caller's own id could cross with another's.
+	// RequestID is generated here, since an id chosen by the caller could collide with
+	// another caller's.
 	RequestID string
-	// Accepted is when the first VM took the request; it travels with a resumed
-	// stream, so that the bill of either VM falls into one minute.
+	// Accepted is when the first VM accepted the request. It is kept when a stream is
+	// resumed, so that the bills of both VMs fall into the same minute.
 	Accepted time.Time
 	Account  *config.ClientAccount
 	Class    config.Class
@@ -57,7 +72,7 @@
 	Session  string
 	// Key is the Idempotency-Key; empty for none.
 	Key string
-	// FirstSend says that the caller never sent this key before.
+	// FirstSend is set if the caller declares that it never sent this key before.
 	FirstSend bool
 }
 
@@ -75,8 +90,8 @@
 		Key:       r.Header.Get(HeaderIdempotencyKey),
 		FirstSend: r.Header.Get(HeaderAttempt) == "1",
 	}
-	if len(c.Session) > maxKey || len(c.Key) > maxKey {
-		return nil, refusal.New(http.StatusBadRequest, refusal.BadRequest, "%s and %s take at most %d bytes", HeaderSession, HeaderIdempotencyKey, maxKey)
+	if len(c.Session) > maxNameBytes || len(c.Key) > maxNameBytes {
+		return nil, refusal.New(http.StatusBadRequest, refusal.BadRequest, "%s and %s take at most %d bytes", HeaderSession, HeaderIdempotencyKey, maxNameBytes)
 	}
 	deadline, bad := deadlineOf(r)
 	if bad != nil {
@@ -87,8 +102,9 @@
 	return c, bad
 }
 
-// accountOf compares the key's hash with every account's, in constant time for
-// each, so that the time taken tells nothing about how much of a key was right.
+// accountOf returns the account with the request's API key, or nil. The key's hash is
+// compared with every account's in constant time, so that the response time does not
+// show how much of a key was right.
 func accountOf(r *http.Request, s *config.Snapshot) *config.ClientAccount {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -119,8 +135,8 @@
 	return min(time.Duration(min(ms, MaxDeadline.Milliseconds()))*time.Millisecond, MaxDeadline), nil
 }
 
-// classOf takes the account's class or a lower one that the request names: a
-// caller must not lift itself over the others.
+// classOf returns the account's class, or a lower one that the request sets: a caller
+// must not raise its own priority.
 func classOf(r *http.Request, a *config.ClientAccount) (config.Class, *refusal.Refusal) {
 	v := r.Header.Get(HeaderPriority)
 	if v == "" {
--- a/router/entry/resume.go
+++ b/router/entry/resume.go
@@ -14,8 +14,8 @@
 	"goldcrestfork/router/refusal"
 )
 
-// resumeToken names a stream that the caller may take up again at any VM. It is
-// signed: a forged one would read another account's answer.
+// resumeToken names a stream that the caller may resume at any VM. It is signed, since a
+// forged token would give access to another account's answer.
 type resumeToken struct {
 	RequestID string `cbor:"1,keyasint"`
 	Account   string `cbor:"2,keyasint"`
@@ -23,28 +23,30 @@
 	Endpoint  string `cbor:"4,keyasint"`
 	// EngineID is the stream's id at the endpoint.
 	EngineID string `cbor:"5,keyasint"`
-	// Accepted is when the request was first taken, in seconds since 1970.
+	// Accepted is when the request was first accepted, in seconds since 1970.
 	Accepted int64 `cbor:"6,keyasint"`
 }
 
-// signer signs and reads resume tokens with a secret that all VMs share.
+// signer signs and verifies resume tokens with a secret that all VMs share.
 type signer struct{ secret []byte }
 
 func (s signer) sum(payload []byte) []byte {
 	m := hmac.New(sha256.New, s.secret)
-	// The purpose is signed too, so that a session's pin never passes for a resume token.
+	// The purpose is signed too, so that a session token is never accepted as a resume
+	// token.
 	m.Write([]byte("resume\x00"))
 	m.Write(payload)
 	return m.Sum(nil)
 }
 
 func (s signer) sign(t resumeToken) string {
-	// A struct of strings always encodes.
+	// Encoding a struct of strings and integers can't fail.
 	payload, _ := cbor.Marshal(t)
 	b64 := base64.RawURLEncoding
 	return b64.EncodeToString(payload) + "." + b64.EncodeToString(s.sum(payload))
 }
 
+// read verifies and decodes a token.
 func (s signer) read(token string) (resumeToken, bool) {
 	head, tail, ok := strings.Cut(token, ".")
 	if !ok {
@@ -63,9 +65,9 @@
 	return t, true
 }
 
-// readResume takes the headers of a request that goes on with a stream.
-func (e *Entry) readResume(r *http.Request, c *chat) *refusal.Refusal {
-	c.sign = e.signer.sign
+// readResume reads the headers of a request that resumes a stream.
+func (e *Entry) readResume(r *http.Request, c *chatRequest) *refusal.Refusal {
+	c.signResume = e.signer.sign
 	token := r.Header.Get(HeaderResume)
 	if token == "" {
 		return nil
@@ -78,8 +80,8 @@
 	if err != nil || from < 0 {
 		return refusal.New(http.StatusBadRequest, refusal.BadRequest, "%s is the id of the last event, a number", HeaderPosition)
 	}
-	c.resume, c.from = &t, from
-	// The same id, so that the bill stays one.
+	c.resume, c.resumeFrom = &t, from
+	// The resumed request keeps the id, so that there is only one bill.
 	c.RequestID, c.Accepted = t.RequestID, time.Unix(t.Accepted, 0)
 	return nil
 }
