--- a/router/dispatch/configure.go
+++ b/router/dispatch/configure.go
@@ -27,16 +27,16 @@
 	members := make(map[string][]string)
 	for name, e := range s.Endpoints {
 		pools := poolsOf(e)
-		own := d.endpoints[name]
-		if own == nil {
-			own = &endpoint{running: make(map[uint64]poison.Fingerprint), lastSuccess: make(map[string]time.Time)}
-			d.endpoints[name] = own
+		ep := d.endpoints[name]
+		if ep == nil {
+			ep = &endpoint{running: make(map[uint64]poison.Fingerprint), lastSuccess: make(map[string]time.Time)}
+			d.endpoints[name] = ep
 		}
-		if own.spec == nil || own.spec.Slots != e.Slots {
-			own.share = d.cfg.Slots.Share(name, e.Slots)
+		if ep.spec == nil || ep.spec.Slots != e.Slots {
+			ep.share = d.cfg.Slots.Share(name, e.Slots)
 		}
-		own.spec, own.pools = e, pools
-		specs = append(specs, d.specOf(s, own))
+		ep.spec, ep.pools = e, pools
+		specs = append(specs, d.specOf(s, ep))
 		for _, p := range pools {
 			members[p] = append(members[p], name)
 		}
@@ -64,14 +64,14 @@
 	return e.Versions
 }
 
-func (d *Dispatcher) specOf(s *config.Snapshot, own *endpoint) picker.Spec {
-	e, tier := own.spec, picker.TierFar
+func (d *Dispatcher) specOf(s *config.Snapshot, ep *endpoint) picker.Spec {
+	e, tier := ep.spec, picker.TierFar
 	if dc := s.DataCentres[e.DataCentre]; e.DataCentre == d.cfg.DataCentre {
 		tier = picker.TierLocal
 	} else if dc != nil && dc.Region == d.cfg.Region {
 		tier = picker.TierRegion
 	}
-	return picker.Spec{Name: e.Name, Pools: own.pools, DataCentre: e.DataCentre, Tier: tier, Bounds: d.bounds(own)}
+	return picker.Spec{Name: e.Name, Pools: ep.pools, DataCentre: e.DataCentre, Tier: tier, Bounds: d.bounds(ep)}
 }
 
 // setPools creates, resizes and removes pools so that they match members, which holds
@@ -90,7 +90,7 @@
 			}
 			d.pools[pool] = ps
 		}
-		ps.endpoints = len(names)
+		ps.endpointCount = len(names)
 		ps.detector.Set(names)
 		ps.tracker.Resize(len(names))
 	}
--- a/router/dispatch/dump.go
+++ b/router/dispatch/dump.go
@@ -49,7 +49,7 @@
 	for name, ps := range d.pools {
 		waiting, running := ps.queue.Len()
 		slots, _ := d.table.Capacity(name)
-		out.Pools = append(out.Pools, PoolDump{Pool: name, Waiting: waiting, Running: running, Capacity: slots, Endpoints: ps.endpoints, Quarantined: ps.countQuarantined(now)})
+		out.Pools = append(out.Pools, PoolDump{Pool: name, Waiting: waiting, Running: running, Capacity: slots, Endpoints: ps.endpointCount, Quarantined: ps.countQuarantined(now)})
 	}
 	for name, e := range d.endpoints {
 		b := d.bounds(e)
--- a/router/dispatch/line.go
+++ b/router/dispatch/line.go
@@ -16,12 +16,12 @@
 // poolState is the queue, the outlier detector, the retry budget and the poison tracker
 // of one pool.
 type poolState struct {
-	name      string
-	queue     *admission.Queue
-	detector  *outlier.Detector
-	budget    *retry.Budget
-	tracker   *poison.Tracker
-	endpoints int // number of endpoints
+	name          string
+	queue         *admission.Queue
+	detector      *outlier.Detector
+	budget        *retry.Budget
+	tracker       *poison.Tracker
+	endpointCount int
 }
 
 // waiter is a request in a queue. Its channel has room for the one grant that it
@@ -158,7 +158,7 @@
 		return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "the endpoint that holds the stream takes no work").WhichRan(refusal.DidRun)
 	case miss == picker.MissUnknown:
 		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", ps.name)
-	case miss == picker.MissFiltered && len(n.tried) >= ps.endpoints:
+	case miss == picker.MissFiltered && len(n.tried) >= ps.endpointCount:
 		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "all endpoints of %s were tried", ps.name).After(time.Second)
 	}
 	return nil
--- a/router/dispatch/poison.go
+++ b/router/dispatch/poison.go
@@ -25,11 +25,11 @@
 }
 
 // MergePoison merges the counts that another VM sent.
-func (d *Dispatcher) MergePoison(counts map[string][]poison.Count) {
+func (d *Dispatcher) MergePoison(byPool map[string][]poison.Count) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for name, counts := range counts {
+	for name, counts := range byPool {
 		if ps := d.pools[name]; ps != nil {
 			ps.tracker.Merge(now, counts)
 		}
--- a/router/entry/answer.go
+++ b/router/entry/answer.go
@@ -69,8 +69,8 @@
 	if a.c.newPin != "" {
 		h.Set(HeaderPin, a.c.newPin)
 	}
-	if a.c.moved != "" {
-		h.Set(HeaderMoved, a.c.moved)
+	if a.c.movedFrom != "" {
+		h.Set(HeaderMoved, a.c.movedFrom)
 	}
 }
 
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -39,11 +39,12 @@
 	body   *engine.Body
 	raw    []byte
 	prefix []uint64
-	// version is the version that must answer. newPin and moved are the headers that
-	// inform the caller about its session.
-	version string
-	newPin  string
-	moved   string
+	// version is the version that must answer. newPin and movedFrom inform the caller
+	// about its session: the token to send next, and the version that the session had to
+	// leave.
+	version   string
+	newPin    string
+	movedFrom string
 	// sentPin is the session token that the caller sent.
 	sentPin string
 	// engineID is the request's id at the engines; each step of a cascade has its own.
@@ -310,7 +311,7 @@
 	t.Done(resultOf(o, fin.stream))
 	e.outcomes.recordAttempt(c, o)
 	if o.Result == engine.WrongVersion {
-		e.wrongVersion(t.Endpoint)
+		e.onWrongVersion(t.Endpoint)
 	}
 	if !certainlyNotRun(o.Result) {
 		fin.ran = refusal.Unknown
--- a/router/entry/choose.go
+++ b/router/entry/choose.go
@@ -116,7 +116,7 @@
 	if p.Version != c.version {
 		c.version, c.arm = p.Version, rollout.ArmNone
 	}
-	c.newPin, c.moved = p.Token, p.Moved
+	c.newPin, c.movedFrom = p.Token, p.Moved
 	return nil
 }
 
--- a/router/entry/entry.go
+++ b/router/entry/entry.go
@@ -89,22 +89,22 @@
 
 // Entry serves callers. It is safe for concurrent use.
 type Entry struct {
-	configuration Configuration
-	dispatch      *dispatch.Dispatcher
-	engines       *engine.Client
-	services      *service.Client
-	claims        Claims
-	sessions      Sessions
-	bills         Bills
-	addresses     Addresses
-	metrics       *Metrics
-	signer        signer
-	rater         Rater
-	learner       *cascade.Learner
-	ratingTimeout time.Duration
-	outcomes      outcomes
-	brakes        *rollout.Brakes
-	wrongVersion  func(endpoint string)
+	configuration  Configuration
+	dispatch       *dispatch.Dispatcher
+	engines        *engine.Client
+	services       *service.Client
+	claims         Claims
+	sessions       Sessions
+	bills          Bills
+	addresses      Addresses
+	metrics        *Metrics
+	signer         signer
+	rater          Rater
+	learner        *cascade.Learner
+	ratingTimeout  time.Duration
+	outcomes       outcomes
+	brakes         *rollout.Brakes
+	onWrongVersion func(endpoint string)
 
 	running  atomic.Int64
 	buffered atomic.Int64
@@ -116,23 +116,23 @@
 // New returns an Entry with the given dependencies.
 func New(c Config) *Entry {
 	return &Entry{
-		configuration: c.Configuration,
-		dispatch:      c.Dispatch,
-		engines:       c.Engines,
-		services:      c.Services,
-		claims:        c.Claims,
-		sessions:      c.Sessions,
-		bills:         c.Bills,
-		addresses:     c.Addresses,
-		metrics:       c.Metrics,
-		signer:        signer{secret: c.Secret},
-		rater:         c.Rater,
-		ratingSlots:   make(chan struct{}, maxBackgroundRatings),
-		learner:       cascade.NewLearner(c.Cascade),
-		ratingTimeout: c.Cascade.RatingTimeout,
-		brakes:        c.Brakes,
-		wrongVersion:  c.WrongVersion,
-		outcomes:      outcomes{recorder: c.Outcomes},
+		configuration:  c.Configuration,
+		dispatch:       c.Dispatch,
+		engines:        c.Engines,
+		services:       c.Services,
+		claims:         c.Claims,
+		sessions:       c.Sessions,
+		bills:          c.Bills,
+		addresses:      c.Addresses,
+		metrics:        c.Metrics,
+		signer:         signer{secret: c.Secret},
+		rater:          c.Rater,
+		ratingSlots:    make(chan struct{}, maxBackgroundRatings),
+		learner:        cascade.NewLearner(c.Cascade),
+		ratingTimeout:  c.Cascade.RatingTimeout,
+		brakes:         c.Brakes,
+		onWrongVersion: c.WrongVersion,
+		outcomes:       outcomes{recorder: c.Outcomes},
 	}
 }
 
--- a/router/entry/hedge.go
+++ b/router/entry/hedge.go
@@ -34,8 +34,8 @@
 		answer, result, err := e.runCall(ctx, p, t)
 		ends <- callEnd{answer, result, err}
 	}
-	slow := time.NewTimer(e.dispatch.HedgeAfter(t))
-	defer slow.Stop()
+	hedgeTimer := time.NewTimer(e.dispatch.HedgeAfter(t))
+	defer hedgeTimer.Stop()
 	go run(t)
 	for running := 1; ; {
 		select {
@@ -44,7 +44,7 @@
 			if end.result == service.Answered || running == 0 {
 				return end.answer, end.result, end.err
 			}
-		case <-slow.C:
+		case <-hedgeTimer.C:
 			if second, ok := e.dispatch.Hedge(t); ok {
 				running++
 				go run(second)
--- a/router/service/client.go
+++ b/router/service/client.go
@@ -66,9 +66,11 @@
 
 // Client calls plain services. It is safe for concurrent use.
 type Client struct {
-	repeatable *http.Client
-	once       *http.Client
-	calls      *prometheus.CounterVec
+	// repeatable reuses connections; nonRepeatable makes one connection per call and
+	// never sends a call twice.
+	repeatable    *http.Client
+	nonRepeatable *http.Client
+	calls         *prometheus.CounterVec
 }
 
 // NewClient returns a client and registers its counter with r.
@@ -83,7 +85,7 @@
 		// Idempotency-Key header does. A non-idempotent call would run twice. Every such
 		// call therefore gets a separate connection, and Do sets no GetBody, without
 		// which net/http can't send the body again.
-		once: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
+		nonRepeatable: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
 			DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 		}},
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -113,7 +115,7 @@
 	}
 	client := c.repeatable
 	if !call.Idempotent {
-		client = c.once
+		client = c.nonRepeatable
 		// A body other than http.NoBody can't be sent again without GetBody.
 		req.Body, req.GetBody = io.NopCloser(bytes.NewReader(call.Body)), nil
 	}
