--- a/control/lease/doc.go
+++ b/control/lease/doc.go
@@ -1,13 +1,15 @@
-// Package lease keeps all but one VM from running a control loop.
+// Package lease elects the one VM that runs a control loop.
 //
-// A lease only saves work. It can't keep two VMs apart: its holder may be paused
-// between the check and the act. What it guards must also be a conditional
-// write, or carry a fencing number.
+// A lease only saves work. It doesn't guarantee mutual exclusion, because its
+// holder may be paused between the check of the lease and the action. An action
+// under a lease must therefore also be a conditional write or carry a fencing
+// number.
 //
-// Two clocks are never compared. The holder counts from the moment before it
-// sent the renewal; the others count from the moment after they saw it, and
-// wait longer. So, where both clocks run, the holder gives up first.
+// The clocks of two VMs are never compared. The holder measures the lease from
+// just before it sends a renewal; the other VMs measure it from just after they
+// observe the renewal, and wait longer. As long as both clocks run, the holder's
+// lease expires before another VM takes it over.
 //
-// Lock order: Lease.tick, which is held over a round's platform calls, before
-// Lease.mu, a leaf that is never held over a call.
+// Lock order: Lease.roundMu, which is held during a round's platform calls, before
+// Lease.mu, a leaf that is never held during a call.
 package lease
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -14,35 +14,39 @@
 	"goldcrestfork/durable"
 )
 
-// Kind is the platform's kind of lease objects.
+// Kind is the kind of lease objects in the platform's store.
 const Kind = "lease"
 
-// Settings are the figures of a Lease.
+// Settings holds the durations of a Lease.
 type Settings struct {
-	// TTL is how long the holder may act after a renewal was sent. Default 6 s: at
-	// a holder's death the next one acts within TTL, its margin and a renewal,
-	// 8.6 s; a shorter lease would be lost to one slow platform call.
+	// TTL is how long the holder may act after it sent a renewal. Default 6 s. When
+	// a holder dies, the next VM acts within TTL, the margin on it and one renewal
+	// interval, 8.6 s in all. A shorter lease would be lost to one slow platform call.
 	TTL time.Duration
-	// Renew is the time between renewals, and between looks of the others. Default TTL/3.
-	Renew time.Duration
+	// Interval is the time between the holder's renewals, and between the reads of
+	// each other candidate. Default TTL/3.
+	Interval time.Duration
 }
 
-// DefaultSettings returns the defaults.
-func DefaultSettings() Settings { return Settings{TTL: 6 * time.Second, Renew: 2 * time.Second} }
+// DefaultSettings returns the default TTL and renewal interval.
+func DefaultSettings() Settings { return Settings{TTL: 6 * time.Second, Interval: 2 * time.Second} }
 
-// patience is how much longer than TTL the others wait, for clocks that run at
-// unlike rates. A tenth is far beyond what a quartz or a slewed clock is off.
-const patience = 1.1
+// takeoverFactor is the multiple of TTL that other VMs wait before they take the lease
+// over, since their clocks may run at different rates. A tenth is far more than the
+// drift of a quartz or slewed clock.
+const takeoverFactor = 1.1
 
 // record is the lease object's value.
 type record struct {
-	// Holder is a VM's incarnation; empty where the last holder gave it up.
+	// Holder is the incarnation of the VM that holds the lease; it is empty after the
+	// last holder released the lease.
 	Holder string `cbor:"1,keyasint"`
-	// Nonce tells the holder's writes apart when a reply was lost.
+	// Nonce identifies one write of the holder, so that the holder recognises a write
+	// whose reply was lost.
 	Nonce uint64 `cbor:"2,keyasint"`
 }
 
-// Lease is one VM's view of one lease. Safe for concurrent use.
+// Lease is one VM's view of one lease. It is safe for concurrent use.
 type Lease struct {
 	store    durable.Store
 	key      durable.Key
@@ -50,30 +54,31 @@
 	settings Settings
 	metrics  metrics
 
-	// tick keeps rounds apart.
-	tick  sync.Mutex
-	nonce uint64
+	// roundMu serialises rounds.
+	roundMu sync.Mutex
+	nonce   uint64
 
 	mu      sync.Mutex
 	machine *stateless.StateMachine
-	// version is the object's version at our last write or look, seenAt when a
-	// look first showed it, seenHolder whose it was.
-	version    int64
-	seenAt     time.Time
-	seenHolder string
-	// until is when our hold ends by our own clock.
-	until time.Time
-	// sent are the writes without a reply: nonce to the moment before sending.
-	sent map[uint64]time.Time
+	// version is the object's version at this VM's last write or read, observedAt the
+	// time at which this VM first observed that version, observedHolder its holder.
+	version        int64
+	observedAt     time.Time
+	observedHolder string
+	// heldUntil is the end of this VM's hold by its own clock.
+	heldUntil time.Time
+	// unconfirmed maps the nonce of each write without a reply to the time just before
+	// it was sent.
+	unconfirmed map[uint64]time.Time
 }
 
-// New returns a Lease on the object named name. holder names this incarnation of
-// the VM; a replaced VM must use another one.
+// New returns a Lease on the object with the given name. holder identifies this
+// incarnation of the VM; a VM that replaces another must use a different one.
 func New(store durable.Store, name, holder string, s Settings, reg prometheus.Registerer, log zerolog.Logger) *Lease {
 	l := &Lease{
 		store: store, key: durable.Key{Kind: Kind, Name: name}, holder: holder, settings: s,
-		sent:    make(map[uint64]time.Time),
-		metrics: newMetrics(name, reg),
+		unconfirmed: make(map[uint64]time.Time),
+		metrics:     newMetrics(name, reg),
 	}
 	l.machine = newMachine(func(cause, to string) {
 		l.metrics.changes.WithLabelValues(cause).Inc()
@@ -86,66 +91,69 @@
 	return l
 }
 
-// Held says whether this VM holds the lease, and until when by its own clock.
-// Ask right before each act: a process that was paused finds out here.
+// Held reports whether this VM holds the lease, and until when by its own clock.
+// Callers check it right before each action, since a process that was paused
+// detects here that its lease has expired.
 func (l *Lease) Held() (until time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lapse()
-	return l.until, l.state() == stateHeld
+	l.expire()
+	return l.heldUntil, l.state() == stateHeld
 }
 
-// lapse ends a hold that has run out. Callers hold l.mu.
-func (l *Lease) lapse() {
-	if l.state() == stateHeld && !time.Now().Before(l.until) {
-		l.fire(triggerLapsed)
+// expire ends a hold whose time is over. Callers hold l.mu.
+func (l *Lease) expire() {
+	if l.state() == stateHeld && !time.Now().Before(l.heldUntil) {
+		l.fire(triggerExpired)
 	}
 }
 
 func (l *Lease) state() string { return l.machine.MustState().(string) }
 
-// fire is for triggers that every state permits or ignores. Callers hold l.mu.
+// fire applies a trigger that every state permits or ignores. Callers hold l.mu.
 func (l *Lease) fire(trigger string) {
 	if err := l.machine.Fire(trigger); err != nil {
-		panic(err) // a state that doesn't know a trigger is a broken invariant
+		panic(err) // every state handles every trigger; anything else is a broken invariant
 	}
 }
 
-// Run keeps the lease while candidate says that this VM should try, and gives it
-// up when it says so no more or ctx ends. Few VMs should be candidates: each looks
-// once each Renew. A holder that stayed on after others were ranked before it would
-// hold the lease without being sent what its loop works with.
+// Run acquires and renews the lease while candidate returns true, and releases it
+// when candidate returns false or ctx ends. Only a few VMs should be candidates,
+// since each reads the lease object once per Interval. A VM that is no longer
+// ranked as a candidate must release the lease, because the other VMs no longer
+// send it the input of its loop.
 func (l *Lease) Run(ctx context.Context, candidate func() bool) {
-	ticker := time.NewTicker(l.settings.Renew)
+	ticker := time.NewTicker(l.settings.Interval)
 	defer ticker.Stop()
 	for {
 		if candidate() {
 			l.Tick(ctx)
 		} else {
-			l.giveUp(ctx)
+			l.release(ctx)
 		}
 		select {
 		case <-ctx.Done():
-			l.giveUp(context.WithoutCancel(ctx))
+			l.release(context.WithoutCancel(ctx))
 			return
 		case <-ticker.C:
 		}
 	}
 }
 
-// Tick does one round: the holder renews, another looks and takes over what lapsed.
+// Tick does one round: the holder renews the lease; any other VM reads it and takes
+// it over if it is free.
 func (l *Lease) Tick(ctx context.Context) {
-	l.tick.Lock()
-	defer l.tick.Unlock()
+	l.roundMu.Lock()
+	defer l.roundMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
-	if _, held := l.Held(); held || l.look(ctx) {
+	if _, held := l.Held(); held || l.checkFree(ctx) {
 		l.write(ctx, l.holder)
 	}
 }
 
-// look reads the object and says whether the lease is free to take.
-func (l *Lease) look(ctx context.Context) bool {
+// checkFree reads the lease object and reports whether this VM may take the lease.
+func (l *Lease) checkFree(ctx context.Context) bool {
 	o, err := l.store.Get(ctx, l.key)
 	missing := errors.Is(err, durable.ErrNotFound)
 	if err != nil && !missing {
@@ -157,40 +165,41 @@
 		l.version = 0
 		return true
 	}
-	l.see(o)
-	if l.seenHolder == "" || l.seenHolder == l.holder {
+	l.observe(o)
+	if l.observedHolder == "" || l.observedHolder == l.holder {
 		return true
 	}
-	return time.Since(l.seenAt) >= time.Duration(patience*float64(l.settings.TTL))
+	return time.Since(l.observedAt) >= time.Duration(takeoverFactor*float64(l.settings.TTL))
 }
 
-// see notes the object as it stands. Callers hold l.mu.
-func (l *Lease) see(o durable.Object) {
-	if o.Version == l.version && !l.seenAt.IsZero() {
+// observe records the current lease object. Callers hold l.mu.
+func (l *Lease) observe(o durable.Object) {
+	if o.Version == l.version && !l.observedAt.IsZero() {
 		return
 	}
 	var r record
 	if err := cbor.Unmarshal(o.Value, &r); err != nil {
-		r = record{Holder: "unreadable"} // waits out as any other holder
+		r = record{Holder: "unreadable"} // the lease can be taken over after the usual wait
 	}
-	l.version, l.seenAt, l.seenHolder = o.Version, time.Now(), r.Holder
-	sentAt, ours := l.sent[r.Nonce]
+	l.version, l.observedAt, l.observedHolder = o.Version, time.Now(), r.Holder
+	sentAt, ours := l.unconfirmed[r.Nonce]
 	if ours && r.Holder == l.holder {
-		// A reply was lost and the write took effect: we hold since its sending.
-		l.hold(sentAt)
+		// The write took effect although its reply was lost; the hold started when the
+		// write was sent.
+		l.extend(sentAt)
 	}
 }
 
-// write takes, renews or (holder empty) gives up the lease.
+// write takes or renews the lease, or releases it if holder is empty.
 func (l *Lease) write(ctx context.Context, holder string) {
 	l.nonce++
 	value, err := cbor.Marshal(record{Holder: holder, Nonce: l.nonce})
 	if err != nil {
-		panic(err) // a struct of a string and a number always encodes
+		panic(err) // encoding a string and a number can't fail
 	}
 	l.mu.Lock()
 	version, sentAt := l.version, time.Now()
-	l.sent[l.nonce] = sentAt
+	l.unconfirmed[l.nonce] = sentAt
 	l.mu.Unlock()
 	o, err := l.store.Put(ctx, l.key, value, version)
 	l.mu.Lock()
@@ -198,73 +207,78 @@
 	var conflict *durable.ConflictError
 	switch {
 	case err == nil:
-		l.version, l.seenAt, l.seenHolder = o.Version, time.Now(), holder
+		l.version, l.observedAt, l.observedHolder = o.Version, time.Now(), holder
 		if holder == l.holder {
-			l.hold(sentAt)
+			l.extend(sentAt)
 		}
 	case errors.As(err, &conflict):
-		l.lose(conflict.Current)
+		l.handleConflict(conflict.Current)
 	}
-	// Otherwise the effect is unknown or there was none: the hold ends when it
-	// ends, and the next round finds out by the object's version.
-	l.lapse()
+	// After any other error the write had no effect or an unknown one. The current
+	// hold keeps its end, and the next round learns the result from the object's version.
+	l.expire()
 }
 
-// hold counts from before the write was sent. Callers hold l.mu.
-func (l *Lease) hold(sentAt time.Time) {
-	clear(l.sent)
-	l.until = sentAt.Add(l.settings.TTL)
-	if time.Now().Before(l.until) {
+// extend sets the end of the hold, measured from just before the write was sent.
+// Callers hold l.mu.
+func (l *Lease) extend(sentAt time.Time) {
+	clear(l.unconfirmed)
+	l.heldUntil = sentAt.Add(l.settings.TTL)
+	if time.Now().Before(l.heldUntil) {
 		l.fire(triggerTaken)
 	}
 }
 
-// lose notes the object that a write met; it may be our own earlier write. Callers hold l.mu.
-func (l *Lease) lose(current durable.Object) {
-	l.seenAt = time.Time{}
+// handleConflict records the object that a write conflicted with, which may be the
+// result of an earlier write of this VM. Callers hold l.mu.
+func (l *Lease) handleConflict(current durable.Object) {
+	l.observedAt = time.Time{}
 	if current.Version == 0 {
 		l.version = 0
 		l.fire(triggerLost)
 		return
 	}
-	l.see(current)
-	if l.seenHolder != l.holder {
+	l.observe(current)
+	if l.observedHolder != l.holder {
 		l.fire(triggerLost)
 	}
 }
 
-// giveUp lets the next holder act at once; nothing happens where the lease isn't held.
-func (l *Lease) giveUp(ctx context.Context) {
-	l.tick.Lock()
-	defer l.tick.Unlock()
+// release gives the lease up, so that another VM can take it at once. It does nothing
+// if this VM doesn't hold the lease.
+func (l *Lease) release(ctx context.Context) {
+	l.roundMu.Lock()
+	defer l.roundMu.Unlock()
 	if _, held := l.Held(); !held {
 		return
 	}
 	l.mu.Lock()
-	l.fire(triggerGiven)
+	l.fire(triggerReleased)
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
 	l.write(ctx, "")
 }
 
-// Dump is the lease's part of the state dump.
+// Dump holds the lease's part of the state dump.
 type Dump struct {
-	Lease   string        `json:"lease"`
-	State   string        `json:"state"`
-	Left    time.Duration `json:"left,omitempty"`
-	Holder  string        `json:"holder"`
-	Version int64         `json:"version"`
+	Lease string `json:"lease"`
+	State string `json:"state"`
+	// Left is the remaining time of this VM's hold.
+	Left time.Duration `json:"left,omitempty"`
+	// Holder and Version are as this VM last wrote or read the lease object.
+	Holder  string `json:"holder"`
+	Version int64  `json:"version"`
 }
 
-// Dump returns the lease as this VM sees it.
+// Dump returns this VM's view of the lease.
 func (l *Lease) Dump() Dump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lapse()
-	d := Dump{Lease: l.key.Name, State: l.state(), Holder: l.seenHolder, Version: l.version}
+	l.expire()
+	d := Dump{Lease: l.key.Name, State: l.state(), Holder: l.observedHolder, Version: l.version}
 	if d.State == stateHeld {
-		d.Left = time.Until(l.until)
+		d.Left = time.Until(l.heldUntil)
 	}
 	return d
 }
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -33,9 +33,9 @@
 	return ok
 }
 
-// The holder is paused past its lease. Another VM takes over; when the first one
-// wakes it finds by its own clock, before any platform call, that it has lapsed,
-// and its next renewal loses.
+// The holder is paused for longer than its lease and another VM takes over. When
+// the first VM resumes, its own clock shows before any platform call that the lease
+// has expired, and its next renewal must fail.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, ctx := store.New(), context.Background()
@@ -43,21 +43,21 @@
 		a.Tick(ctx)
 		require.True(t, held(a))
 		for !held(b) {
-			require.True(t, held(a) || time.Since(a.until) >= 0, "no gap in which a is still held")
+			require.True(t, held(a) || time.Since(a.heldUntil) >= 0, "a holds the lease until its own deadline")
 			b.Tick(ctx)
-			time.Sleep(b.settings.Renew)
+			time.Sleep(b.settings.Interval)
 			require.False(t, held(a) && held(b))
 		}
 		require.False(t, held(a))
-		require.LessOrEqual(t, time.Since(a.until), 2*b.settings.Renew, "taken over soon after the lapse")
+		require.LessOrEqual(t, time.Since(a.heldUntil), 2*b.settings.Interval, "taken over soon after the lease expired")
 		a.Tick(ctx)
 		require.False(t, held(a))
 		require.Equal(t, "b", a.Dump().Holder)
 	})
 }
 
-// The reply to a renewal is lost after its effect. The holder must not take its
-// own write for another VM's, or the loop would stand still for a whole lease.
+// The reply to a renewal is lost after the write took effect. The holder must not
+// mistake its own write for another VM's, or the loop would stop for a whole lease.
 func TestLostRepliesKeepTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, ctx := store.New(), context.Background()
@@ -66,7 +66,7 @@
 		for range 20 {
 			s.SetFaults(store.Faults{LoseReplies: 1})
 			l.Tick(ctx)
-			time.Sleep(l.settings.Renew)
+			time.Sleep(l.settings.Interval)
 			require.True(t, held(l))
 			l.Tick(ctx)
 		}
@@ -74,26 +74,26 @@
 	})
 }
 
-// The holder stops as planned, or the list of VMs grows and it is no longer among
-// the candidates, so that nobody sends it counts any more. Another VM must have
-// the lease at once, not after its time has run out.
-func TestGivenUp(t *testing.T) {
-	for _, stops := range []bool{true, false} {
+// The holder stops as planned, or it is no longer among the candidates because the
+// list of VMs grew, so that the other VMs no longer send it counts. Another VM must
+// get the lease at once, not after the TTL.
+func TestRelease(t *testing.T) {
+	for _, planned := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			s := store.New()
 			a, b := newLease(s, "a"), newLease(s, "b")
 			var ranked atomic.Bool
 			ranked.Store(true)
 			ctx, stop := t.Context(), func() {}
-			if stops {
+			if planned {
 				ctx, stop = context.WithCancel(ctx)
 			}
 			go a.Run(ctx, ranked.Load)
 			synctest.Wait()
 			require.True(t, held(a))
-			ranked.Store(stops)
+			ranked.Store(planned)
 			stop()
-			time.Sleep(a.settings.Renew + time.Millisecond)
+			time.Sleep(a.settings.Interval + time.Millisecond)
 			b.Tick(t.Context())
 			require.True(t, held(b))
 			require.False(t, held(a))
@@ -101,9 +101,9 @@
 	}
 }
 
-// Three VMs want the lease while the platform is slow, down and loses replies,
-// and VMs are paused for longer than a lease and resumed. Two must never hold it
-// at once, and in the end one does.
+// Three VMs compete for the lease while the platform is slow, is down or loses
+// replies, and VMs are paused for longer than a lease. Two VMs must never hold the
+// lease at once, and one must hold it after the faults end.
 func TestOneHolderUnderFaults(t *testing.T) {
 	for _, seed := range []uint64{seedA, seedB} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -112,11 +112,11 @@
 	}
 }
 
-// pausable ticks as Run does, but stops without giving up.
+// pausable ticks a lease as Run does, but can stop without releasing it.
 type pausable struct {
 	*Lease
 	stop context.CancelFunc
-	// resume is the round of the test in which it goes on; zero while it runs.
+	// resume is the test round in which the VM resumes; zero while it runs.
 	resume int
 }
 
@@ -124,7 +124,7 @@
 	ctx, p.stop = context.WithCancel(ctx)
 	p.resume = 0
 	go func() {
-		ticker := time.NewTicker(p.settings.Renew)
+		ticker := time.NewTicker(p.settings.Interval)
 		defer ticker.Stop()
 		for {
 			p.Tick(ctx)
@@ -177,7 +177,7 @@
 		}
 		require.LessOrEqual(t, holders, 1)
 	}
-	require.Greater(t, takeovers, 5, "the schedule moved the lease")
+	require.Greater(t, takeovers, 5, "the faults caused takeovers")
 	s.SetFaults(store.Faults{})
 	for _, vm := range vms {
 		vm.stop()
@@ -188,8 +188,8 @@
 	t.Logf("%d takeovers", takeovers)
 }
 
-// The platform counts every call. However many VMs the fleet has, the lease
-// costs one write a renewal and one read a renewal for each further candidate.
+// Platform calls are limited. Whatever the size of the fleet, a lease must cost one
+// write per renewal, and one read per renewal for each further candidate.
 func TestPlatformCalls(t *testing.T) {
 	for _, candidates := range []int{1, 3, 10} {
 		t.Run(fmt.Sprint(candidates), func(t *testing.T) {
@@ -201,7 +201,7 @@
 				}
 				const watched = time.Hour
 				time.Sleep(watched)
-				n, renewals := s.Counts(), int(watched/DefaultSettings().Renew)
+				n, renewals := s.Counts(), int(watched/DefaultSettings().Interval)
 				stop()
 				synctest.Wait()
 				require.InDelta(t, renewals, n.Writes(), float64(candidates+1))
--- a/control/lease/machine.go
+++ b/control/lease/machine.go
@@ -7,27 +7,27 @@
 	"github.com/qmuntal/stateless"
 )
 
-// The states and triggers of a lease.
+// The states of a lease on this VM and the triggers that change them.
 const (
 	stateWaiting = "waiting"
 	stateHeld    = "held"
 
-	triggerTaken  = "taken"
-	triggerLost   = "lost"
-	triggerLapsed = "lapsed"
-	triggerGiven  = "given up"
+	triggerTaken    = "taken"
+	triggerLost     = "lost"
+	triggerExpired  = "lapsed"
+	triggerReleased = "given up"
 )
 
 func newMachine(changed func(cause, to string)) *stateless.StateMachine {
 	m := stateless.NewStateMachine(stateWaiting)
 	m.Configure(stateWaiting).
 		Permit(triggerTaken, stateHeld).
-		Ignore(triggerLost).Ignore(triggerLapsed).Ignore(triggerGiven)
+		Ignore(triggerLost).Ignore(triggerExpired).Ignore(triggerReleased)
 	m.Configure(stateHeld).
 		Ignore(triggerTaken).
 		Permit(triggerLost, stateWaiting).
-		Permit(triggerLapsed, stateWaiting).
-		Permit(triggerGiven, stateWaiting)
+		Permit(triggerExpired, stateWaiting).
+		Permit(triggerReleased, stateWaiting)
 	m.OnTransitioned(func(_ context.Context, t stateless.Transition) {
 		changed(t.Trigger.(string), t.Destination.(string))
 	})
@@ -42,7 +42,7 @@
 func newMetrics(name string, reg prometheus.Registerer) metrics {
 	labels := prometheus.Labels{"lease": name}
 	m := metrics{
-		// goldcrest_lease_changes_total counts changes of state by their cause.
+		// goldcrest_lease_changes_total counts state changes by their cause.
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "goldcrest_lease_changes_total", Help: "Changes of a lease's state on this VM, by cause.", ConstLabels: labels,
 		}, []string{"cause"}),
