--- a/control/gather/doc.go
+++ b/control/gather/doc.go
@@ -1,17 +1,18 @@
-// Package gather brings the counts of all VMs to the controller of roll-outs.
+// Package gather aggregates the request counts of all VMs for the roll-out controller.
 //
-// Each VM sends its counts to one VM of its data centre, the one that rendezvous
-// hashing ranks first; that one adds them up and sends a digest to the few VMs
-// that may hold the controller's lease. So no VM hears from more than the VMs
-// of its data centre or one VM of each data centre, the platform's store carries
-// none of it, and a VM that takes the lease over has the counts already.
+// Each VM sends its counts to the aggregating VM of its data centre, which is the one
+// that rendezvous hashing ranks first. That VM adds them up and sends a digest to the
+// few candidates for the controller's lease. A VM therefore receives messages only
+// from the VMs of its data centre or from one VM of each data centre, none of this
+// traffic goes through the platform's store, and a VM that takes the lease over
+// already has the counts.
 //
-// Digests add up by data centre, and of one data centre's the larger counts win.
-// While two VMs both take themselves for the first of their data centre, or
-// after one was replaced, requests may be missing from the sum for a while; none
-// is ever counted twice.
+// The controller adds up the digests of different data centres; of several digests of
+// one data centre, the larger counts replace the smaller ones. While two VMs both act
+// as the aggregating VM of a data centre, or after an aggregating VM was replaced,
+// requests may be missing from the sum for a while; no request is ever counted twice.
 //
-// The package sends nothing; the peer link does.
+// The package sends nothing; control/loops sends the messages over the peer link.
 //
-// Lock order: Site.mu and Collector.mu are leaves.
+// Lock order: Aggregator.mu and Collector.mu are leaves.
 package gather
--- a/control/gather/gather.go
+++ b/control/gather/gather.go
@@ -10,37 +10,41 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// Interval is the time between a VM's reports and between a site's digests, with
-// one roll-out under way. One second, as the controller's rounds: a longer one
-// would expose callers to a bad version for as long.
+// Interval is the time between a VM's reports and between a data centre's digests
+// with one roll-out under way. It equals the interval of the controller's rounds; a
+// longer one would expose callers to a bad version for that much longer.
 const Interval = time.Second
 
-// Every is the time between reports and digests with so many roll-outs under way.
-// It grows with them, so that the bytes a second stay those of one.
-func Every(rollOuts int) time.Duration { return Interval * time.Duration(max(1, rollOuts)) }
+// ReportInterval returns the time between reports and between digests for a number of
+// roll-outs under way. It grows in proportion to them, so that the bytes per second
+// stay the same.
+func ReportInterval(rollOuts int) time.Duration { return Interval * time.Duration(max(1, rollOuts)) }
 
-// stale is the age from which a report counts as missing: three lost ones in a row.
-func stale(rollOuts int) time.Duration { return 3 * Every(rollOuts) }
+// staleAfter returns the age from which a report or digest counts as missing, that is
+// after three lost ones in a row.
+func staleAfter(rollOuts int) time.Duration { return 3 * ReportInterval(rollOuts) }
 
-// Report is what one VM sends to its site's first VM each Interval while a
-// roll-out is under way. The counts' Source is left out on the way; it is the VM.
+// Report holds the counts that one VM sends to the aggregating VM of its data centre
+// every ReportInterval while a roll-out is under way. The Source of the counts is
+// empty in the message; it is the VM.
 type Report struct {
-	// VM names the VM's incarnation.
+	// VM identifies the VM's incarnation.
 	VM     string           `cbor:"1,keyasint"`
 	Counts []rollout.Counts `cbor:"2,keyasint"`
 }
 
-// Digest is what a site's first VM sends to the lease's candidates. The counts'
-// Source is left out on the way; it is the data centre.
+// Digest holds one data centre's sums, which its aggregating VM sends to the
+// candidates for the lease. The Source of the counts is empty in the message; it is
+// the data centre.
 type Digest struct {
 	DataCentre string `cbor:"1,keyasint"`
-	// Heard of Expected VMs have reported lately.
-	Heard    int              `cbor:"2,keyasint"`
-	Expected int              `cbor:"3,keyasint"`
-	Counts   []rollout.Counts `cbor:"4,keyasint"`
+	// Reporting is the number of VMs with a recent report, out of Expected live VMs.
+	Reporting int              `cbor:"2,keyasint"`
+	Expected  int              `cbor:"3,keyasint"`
+	Counts    []rollout.Counts `cbor:"4,keyasint"`
 }
 
-// NewReport returns a VM's report of its recorder's counts.
+// NewReport returns a VM's report with a copy of its recorder's counts.
 func NewReport(vm string, counts []rollout.Counts) Report {
 	r := Report{VM: vm, Counts: slices.Clone(counts)}
 	for i := range r.Counts {
@@ -49,25 +53,25 @@
 	return r
 }
 
-// Site adds up one data centre's reports. Safe for concurrent use.
-type Site struct {
+// Aggregator adds up the reports of one data centre's VMs. It is safe for concurrent use.
+type Aggregator struct {
 	dataCentre string
 
-	mu     sync.Mutex
-	heard  map[string]time.Time
-	totals map[string]*rollout.Totals
+	mu         sync.Mutex
+	reportedAt map[string]time.Time
+	totals     map[string]*rollout.Totals
 }
 
-// NewSite returns an empty Site.
-func NewSite(dataCentre string) *Site {
-	return &Site{dataCentre: dataCentre, heard: make(map[string]time.Time), totals: make(map[string]*rollout.Totals)}
+// NewAggregator returns an empty Site.
+func NewAggregator(dataCentre string) *Aggregator {
+	return &Aggregator{dataCentre: dataCentre, reportedAt: make(map[string]time.Time), totals: make(map[string]*rollout.Totals)}
 }
 
-// Add takes a report; doubled and late ones change nothing.
-func (s *Site) Add(r Report, now time.Time) {
+// Add adds a VM's report. Duplicate and late reports leave the sums unchanged.
+func (s *Aggregator) Add(r Report, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[r.VM] = now
+	s.reportedAt[r.VM] = now
 	for _, c := range r.Counts {
 		c.Source = r.VM
 		t, ok := s.totals[c.RollOut]
@@ -82,18 +86,19 @@
 	}
 }
 
-// Digest adds up. vms are the incarnations of the data centre's live VMs; rollOuts are the
-// names of those under way, the others are forgotten.
-func (s *Site) Digest(vms, rollOuts []string, now time.Time) Digest {
+// Digest returns the current sums. vms are the incarnations of the data centre's live
+// VMs. rollOuts are the names of the roll-outs under way; the sums of all others are
+// dropped.
+func (s *Aggregator) Digest(vms, rollOuts []string, now time.Time) Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, old := Digest{DataCentre: s.dataCentre, Expected: len(vms)}, stale(len(rollOuts))
+	d, maxAge := Digest{DataCentre: s.dataCentre, Expected: len(vms)}, staleAfter(len(rollOuts))
 	for _, vm := range vms {
-		if at, ok := s.heard[vm]; ok && now.Sub(at) <= old {
-			d.Heard++
+		if at, ok := s.reportedAt[vm]; ok && now.Sub(at) <= maxAge {
+			d.Reporting++
 		}
 	}
-	maps.DeleteFunc(s.heard, func(_ string, at time.Time) bool { return now.Sub(at) > old })
+	maps.DeleteFunc(s.reportedAt, func(_ string, at time.Time) bool { return now.Sub(at) > maxAge })
 	maps.DeleteFunc(s.totals, func(name string, _ *rollout.Totals) bool { return !slices.Contains(rollOuts, name) })
 	for _, name := range slices.Sorted(maps.Keys(s.totals)) {
 		t := s.totals[name]
@@ -103,9 +108,9 @@
 	return d
 }
 
-// Collector holds the latest digest of each data centre. Safe for concurrent use.
+// Collector holds the latest digest of each data centre. It is safe for concurrent use.
 type Collector struct {
-	// dataCentres returns the names of those that have live VMs.
+	// dataCentres returns the names of the data centres with live VMs.
 	dataCentres func() []string
 
 	mu      sync.Mutex
@@ -117,21 +122,22 @@
 	at     time.Time
 }
 
-// NewCollector returns an empty Collector; dataCentres returns the names of
-// those that have live VMs, also those that are out of service: their sessions go on.
+// NewCollector returns an empty Collector. dataCentres returns the names of the data
+// centres with live VMs, including those out of service, whose sessions continue.
 func NewCollector(dataCentres func() []string) *Collector {
 	return &Collector{dataCentres: dataCentres, digests: make(map[string]received)}
 }
 
-// Add takes a digest.
+// Add replaces the digest of a data centre.
 func (c *Collector) Add(d Digest, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.digests[d.DataCentre] = received{d, now}
 }
 
-// Counts returns all digests' counts, old ones too since what they count did
-// happen, and whether every data centre's is recent and lacks no VM.
+// Counts returns the counts of all digests, including old ones, since their requests
+// did take place. complete reports whether the digest of every data centre is recent
+// and includes all of its VMs.
 func (c *Collector) Counts(context.Context) (counts []rollout.Counts, complete bool) {
 	expected, now := c.dataCentres(), time.Now()
 	c.mu.Lock()
@@ -146,7 +152,8 @@
 	return counts, complete
 }
 
-// Missing names the data centres whose counts are not complete, for the state dump.
+// Missing returns the names of the data centres whose counts are incomplete, for the
+// state dump.
 func (c *Collector) Missing() []string {
 	expected, now := c.dataCentres(), time.Now()
 	c.mu.Lock()
@@ -154,12 +161,13 @@
 	return c.missing(expected, now)
 }
 
-// missing returns the expected data centres whose digest is absent, old or lacks a VM. Callers hold c.mu.
+// missing returns the expected data centres whose digest is absent, is old or lacks a
+// VM. Callers hold c.mu.
 func (c *Collector) missing(expected []string, now time.Time) []string {
 	var out []string
 	for _, name := range expected {
 		r, ok := c.digests[name]
-		if !ok || now.Sub(r.at) > stale(len(r.digest.Counts)) || r.digest.Heard < r.digest.Expected {
+		if !ok || now.Sub(r.at) > staleAfter(len(r.digest.Counts)) || r.digest.Reporting < r.digest.Expected {
 			out = append(out, name)
 		}
 	}
--- a/control/loops/doc.go
+++ b/control/loops/doc.go
@@ -1,10 +1,10 @@
-// Package loops wires the control loops of one VM: the leases, the controller of
-// roll-outs with its counts, the controller of orders.
+// Package loops wires up the control loops of one VM: the leases, the roll-out
+// controller with its counts, and the order controller.
 //
-// Every VM runs it. Which VMs are candidates for a lease, and which is the first
-// of its data centre, follows from the list of live VMs by rendezvous; VMs that
-// know unlike lists may disagree for a while, which costs messages or delays a
-// step and is made good by the conditional writes underneath.
+// Every VM runs the loops. Rendezvous hashing over the list of live VMs determines the
+// candidates for each lease and the aggregating VM of each data centre. VMs whose
+// lists differ may disagree for a while. That only costs messages or delays a step,
+// since every step is a conditional write.
 //
 // Lock order: Loops.mu is a leaf.
 package loops
--- a/control/loops/loops.go
+++ b/control/loops/loops.go
@@ -20,30 +20,32 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// candidates is how many VMs look after each lease. Three: one may fail and
-// another be replaced at the same time; each further one costs a platform read
-// every two seconds.
-const candidates = 3
+// candidatesPerLease is the number of VMs that compete for each lease. With three, one
+// may fail while another is being replaced; each further candidate costs a platform
+// read every two seconds.
+const candidatesPerLease = 3
 
-// repeatEvery is the time between repeats of a brake, or of a suspicion of one
-// endpoint: a VM that missed one, or started since, gets the next.
-const repeatEvery = 5 * time.Second
+// repeatInterval is the time between repeats of a brake, or of a suspect message about
+// one endpoint. A VM that missed a message, or started after it, receives the repeat.
+const repeatInterval = 5 * time.Second
 
-// The names of the leases, which are also the keys by which VMs are ranked.
+// The names of the leases, which are also the rendezvous keys of their candidates, and
+// the rendezvous key of the aggregating VMs.
 const (
 	leaseRollOuts = "roll-outs"
 	leaseOrders   = "orders"
-	rankCounts    = "counts"
+	aggregatorKey = "counts"
 )
 
-// Options are what the loops work with.
+// Options holds the dependencies and settings of the loops.
 type Options struct {
 	Self          VM
 	Peers         Peers
 	Store         durable.Store
 	Configuration control.Configuration
 	Endpoints     orders.Endpoints
-	// Recorder holds this VM's outcomes, Brakes keeps its new work from bad versions.
+	// Recorder holds the counts of this VM's outcomes; Brakes stops its new work on bad
+	// versions.
 	Recorder *rollout.Recorder
 	Brakes   *rollout.Brakes
 
@@ -55,58 +57,60 @@
 	Log        zerolog.Logger
 }
 
-// Loops are one VM's control loops. Safe for concurrent use.
+// Loops runs the control loops of one VM. It is safe for concurrent use.
 type Loops struct {
-	opts      Options
-	site      *gather.Site
-	collector *gather.Collector
-	rollOuts  *rollouts.Controller
-	orders    *orders.Controller
-	leases    map[string]*lease.Lease
+	opts       Options
+	aggregator *gather.Aggregator
+	collector  *gather.Collector
+	rollOuts   *rollouts.Controller
+	orders     *orders.Controller
+	leases     map[string]*lease.Lease
 
 	mu sync.Mutex
-	// sent is when each brake and suspicion was last sent.
-	sent map[repeat]time.Time
+	// sentAt is the time at which each brake or suspect message was last sent.
+	sentAt map[messageKey]time.Time
 }
 
-// repeat names what is sent again now and then.
-type repeat struct {
+// messageKey identifies a message that is repeated: a suspect endpoint, or a roll-out
+// and its epoch.
+type messageKey struct {
 	endpoint, rollOut string
 	epoch             int64
 }
 
-// New wires the loops; Run runs them.
+// New returns the loops of one VM; Run runs them.
 func New(o Options) *Loops {
 	l := &Loops{
-		opts:   o,
-		site:   gather.NewSite(o.Self.DataCentre),
-		leases: make(map[string]*lease.Lease),
-		sent:   make(map[repeat]time.Time),
+		opts:       o,
+		aggregator: gather.NewAggregator(o.Self.DataCentre),
+		leases:     make(map[string]*lease.Lease),
+		sentAt:     make(map[messageKey]time.Time),
 	}
 	for _, name := range []string{leaseRollOuts, leaseOrders} {
 		l.leases[name] = lease.New(o.Store, name, o.Self.ID, o.Lease, o.Registerer, o.Log)
 	}
 	l.collector = gather.NewCollector(l.dataCentres)
 	l.rollOuts = rollouts.New(l.leases[leaseRollOuts], o.Configuration, l.collector, o.RollOuts, o.Registerer, o.Log)
-	l.rollOuts.UseBrakes(o.Brakes, l.brake)
+	l.rollOuts.UseBrakes(o.Brakes, l.broadcastBrake)
 	l.orders = orders.New(l.leases[leaseOrders], o.Configuration, o.Store, o.Endpoints, o.Orders, o.Registerer, o.Log)
 	return l
 }
 
-// Run runs the loops until ctx ends, and gives the leases up.
+// Run runs the loops until ctx ends, and then releases the leases.
 func (l *Loops) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	for name, held := range l.leases {
-		running.Go(func() { held.Run(ctx, func() bool { return l.candidate(name) }) })
+	for name, vmLease := range l.leases {
+		running.Go(func() { vmLease.Run(ctx, func() bool { return l.isCandidate(name) }) })
 	}
 	running.Go(func() { l.rollOuts.Run(ctx) })
 	running.Go(func() { l.orders.Run(ctx) })
-	running.Go(func() { l.report(ctx) })
+	running.Go(func() { l.runReports(ctx) })
 	running.Wait()
 }
 
-// report sends this VM's counts, and its data centre's if this is the first VM there.
-func (l *Loops) report(ctx context.Context) {
+// runReports sends this VM's counts, and on the aggregating VM also its data centre's
+// digest, every gather.ReportInterval while a roll-out is under way.
+func (l *Loops) runReports(ctx context.Context) {
 	timer := time.NewTimer(gather.Interval)
 	defer timer.Stop()
 	for {
@@ -117,13 +121,14 @@
 		}
 		underWay := l.underWay()
 		if len(underWay) > 0 {
-			l.reportOnce(ctx, underWay)
+			l.sendReport(ctx, underWay)
 		}
-		timer.Reset(gather.Every(len(underWay)))
+		timer.Reset(gather.ReportInterval(len(underWay)))
 	}
 }
 
-// underWay names the roll-outs under way. Brakes of those that are gone are dropped.
+// underWay returns the names of the roll-outs under way, and drops the brakes of
+// roll-outs that are over.
 func (l *Loops) underWay() []string {
 	s := l.opts.Configuration.Snapshot()
 	l.opts.Brakes.Forget(s)
@@ -136,82 +141,88 @@
 	return names
 }
 
-func (l *Loops) reportOnce(ctx context.Context, underWay []string) {
+// sendReport sends one report to the aggregating VM of this data centre, and if that is
+// this VM, one digest to each candidate for the roll-out lease.
+func (l *Loops) sendReport(ctx context.Context, underWay []string) {
 	counts := l.opts.Recorder.Counts(l.opts.Configuration.Snapshot())
 	r := gather.NewReport(l.opts.Self.ID, counts)
-	l.send(ctx, l.first(l.opts.Self.DataCentre), Message{Report: &r})
-	if l.first(l.opts.Self.DataCentre) != l.opts.Self.ID {
+	l.send(ctx, l.aggregatorVM(l.opts.Self.DataCentre), Message{Report: &r})
+	if l.aggregatorVM(l.opts.Self.DataCentre) != l.opts.Self.ID {
 		return
 	}
-	d := l.site.Digest(l.ids(l.opts.Self.DataCentre), underWay, time.Now())
-	for _, id := range l.ranked(leaseRollOuts) {
+	d := l.aggregator.Digest(l.vmIDs(l.opts.Self.DataCentre), underWay, time.Now())
+	for _, id := range l.candidates(leaseRollOuts) {
 		l.send(ctx, id, Message{Digest: &d})
 	}
 }
 
-// Receive takes a message of another VM, or of this one.
+// Receive handles a message from another VM or from this VM.
 func (l *Loops) Receive(ctx context.Context, m Message) {
 	switch {
 	case m.Report != nil:
-		l.site.Add(*m.Report, time.Now())
+		l.aggregator.Add(*m.Report, time.Now())
 	case m.Digest != nil:
 		l.collector.Add(*m.Digest, time.Now())
 	case m.Brake != nil:
 		l.opts.Brakes.Set(m.Brake.RollOut, m.Brake.Epoch)
 		if !m.Brake.Relayed {
-			l.relay(ctx, *m.Brake)
+			l.relayBrake(ctx, *m.Brake)
 		}
 	case m.Suspect != "":
 		l.orders.Suspect(m.Suspect)
 	}
 }
 
-// relay passes a brake on to the VMs of this data centre.
-func (l *Loops) relay(ctx context.Context, b Brake) {
+// relayBrake sends a brake to the other VMs of this data centre.
+func (l *Loops) relayBrake(ctx context.Context, b Brake) {
 	b.Relayed = true
-	for _, id := range l.ids(l.opts.Self.DataCentre) {
+	for _, id := range l.vmIDs(l.opts.Self.DataCentre) {
 		if id != l.opts.Self.ID {
 			l.send(ctx, id, Message{Brake: &b})
 		}
 	}
 }
 
-// brake is called each round for a version that should be rolled back and can't be.
-func (l *Loops) brake(rollOut string, epoch int64) {
-	if l.recent(repeat{rollOut: rollOut, epoch: epoch}) {
+// broadcastBrake sends a brake to the aggregating VM of each data centre, at most once
+// per repeatInterval. The roll-out controller calls it in each round for a version that
+// should be rolled back but can't be.
+func (l *Loops) broadcastBrake(rollOut string, epoch int64) {
+	if l.recentlySent(messageKey{rollOut: rollOut, epoch: epoch}) {
 		return
 	}
 	b := Brake{RollOut: rollOut, Epoch: epoch}
 	for _, dc := range l.dataCentres() {
-		l.send(context.Background(), l.first(dc), Message{Brake: &b})
+		l.send(context.Background(), l.aggregatorVM(dc), Message{Brake: &b})
 	}
 }
 
-// Suspect has an endpoint's report read by the VM that holds the orders' lease, as
-// when an answer came from a version that it shouldn't have loaded.
+// Suspect asks the holder of the order lease to read an endpoint's report, for example
+// after an answer from a version that the endpoint should not have loaded. It sends at
+// most one message per endpoint and repeatInterval to each candidate.
 func (l *Loops) Suspect(ctx context.Context, endpoint string) {
-	if l.recent(repeat{endpoint: endpoint}) {
+	if l.recentlySent(messageKey{endpoint: endpoint}) {
 		return
 	}
-	for _, id := range l.ranked(leaseOrders) {
+	for _, id := range l.candidates(leaseOrders) {
 		l.send(ctx, id, Message{Suspect: endpoint})
 	}
 }
 
-// recent says whether something was sent less than repeatEvery ago; if not, it is now.
-func (l *Loops) recent(r repeat) bool {
+// recentlySent reports whether a message was sent less than repeatInterval ago. If not,
+// it records the message as sent now.
+func (l *Loops) recentlySent(key messageKey) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(l.sent, func(_ repeat, at time.Time) bool { return now.Sub(at) >= repeatEvery })
-	if _, ok := l.sent[r]; ok {
+	maps.DeleteFunc(l.sentAt, func(_ messageKey, at time.Time) bool { return now.Sub(at) >= repeatInterval })
+	if _, ok := l.sentAt[key]; ok {
 		return true
 	}
-	l.sent[r] = now
+	l.sentAt[key] = now
 	return false
 }
 
-// send delivers to this VM itself without the peer link.
+// send sends a message to a VM; it delivers messages to this VM directly.
 func (l *Loops) send(ctx context.Context, to string, m Message) {
 	if to == l.opts.Self.ID {
 		l.Receive(ctx, m)
@@ -220,8 +231,8 @@
 	l.opts.Peers.Send(ctx, to, m)
 }
 
-// ids returns the live VMs of a data centre, or all for "".
-func (l *Loops) ids(dataCentre string) []string {
+// vmIDs returns the IDs of a data centre's live VMs, or of all live VMs for "".
+func (l *Loops) vmIDs(dataCentre string) []string {
 	var ids []string
 	for _, vm := range l.opts.Peers.VMs() {
 		if dataCentre == "" || vm.DataCentre == dataCentre {
@@ -231,7 +242,7 @@
 	return ids
 }
 
-// dataCentres returns those with live VMs.
+// dataCentres returns the names of the data centres with live VMs.
 func (l *Loops) dataCentres() []string {
 	var names []string
 	for _, vm := range l.opts.Peers.VMs() {
@@ -241,26 +252,26 @@
 	return slices.Compact(names)
 }
 
-// first returns the VM that gathers a data centre's counts.
-func (l *Loops) first(dataCentre string) string {
-	return rendezvous.Best(rankCounts, l.ids(dataCentre))
+// aggregatorVM returns the VM that aggregates a data centre's counts.
+func (l *Loops) aggregatorVM(dataCentre string) string {
+	return rendezvous.Best(aggregatorKey, l.vmIDs(dataCentre))
 }
 
-// ranked returns the candidates for a lease.
-func (l *Loops) ranked(name string) []string {
-	all := rendezvous.Rank(name, l.ids(""))
-	return all[:min(candidates, len(all))]
+// candidates returns the VMs that compete for a lease.
+func (l *Loops) candidates(name string) []string {
+	all := rendezvous.Rank(name, l.vmIDs(""))
+	return all[:min(candidatesPerLease, len(all))]
 }
 
-func (l *Loops) candidate(name string) bool {
-	return slices.Contains(l.ranked(name), l.opts.Self.ID)
+func (l *Loops) isCandidate(name string) bool {
+	return slices.Contains(l.candidates(name), l.opts.Self.ID)
 }
 
-// Dump is the control loops' part of the state dump.
+// Dump holds the control loops' part of the state dump.
 type Dump struct {
 	Leases   []lease.Dump      `json:"leases"`
 	RollOuts []rollouts.Status `json:"rollOuts,omitempty"`
-	// Missing names data centres whose counts are not complete here.
+	// Missing lists the data centres whose counts are incomplete on this VM.
 	Missing []string        `json:"missing,omitempty"`
 	Orders  []orders.Status `json:"orders,omitempty"`
 }
--- a/control/loops/loops_test.go
+++ b/control/loops/loops_test.go
@@ -30,8 +30,8 @@
 	seedB = 502
 )
 
-// fleet is seven VMs in two data centres over one platform, each with the real
-// editor, leases and loops, and with ten callers' requests a second.
+// fleet is a testbed of seven VMs in two data centres that share one store. Each VM has
+// the real editor, leases and loops, and handles ten requests per second.
 type fleet struct {
 	t     *testing.T
 	store *store.Store
@@ -39,14 +39,14 @@
 
 	mu  sync.Mutex
 	vms []*testVM
-	// net loses one message in ten.
-	net *rand.Rand
-	// bad says that the new version fails one request in four; exposed counts its
+	// networkRNG selects the messages that are lost, one in ten.
+	networkRNG *rand.Rand
+	// newVersionBad makes the new version fail one request in four; exposed counts its
 	// requests from then on.
-	bad     bool
-	exposed int
-	keys    int
-	// history holds the committed states of the roll-out, times when they came.
+	newVersionBad bool
+	exposed       int
+	keyCount      int
+	// history holds the committed states of the roll-out, times the time of each.
 	history []config.RollOut
 	times   []time.Time
 }
@@ -62,7 +62,7 @@
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, store: store.New(), rng: rand.New(rand.NewPCG(seed, 0)), net: rand.New(rand.NewPCG(seed, 1))}
+	f := &fleet{t: t, store: store.New(), rng: rand.New(rand.NewPCG(seed, 0)), networkRNG: rand.New(rand.NewPCG(seed, 1))}
 	version := func(name string) config.Change {
 		return config.Change{Object: &config.ModelVersion{
 			Meta: config.Meta{Name: name}, Model: "m", State: config.VersionServing, Cost: 100, Quality: 0.8,
@@ -82,7 +82,7 @@
 	v := &testVM{VM: VM{id, dataCentre}, fleet: f, recorder: rollout.NewRecorder(id)}
 	v.cache = config.NewCache(config.Options{Store: f.store})
 	editor := config.NewEditor(f.store, v.cache)
-	editor.Gate = nil // whether a VM may accept changes is config's matter
+	editor.Gate = nil // package config decides whether a VM may accept changes
 	settings := rollout.DefaultSettings()
 	settings.MinRated = 0
 	v.loops = New(Options{
@@ -114,7 +114,7 @@
 func (v *testVM) Send(ctx context.Context, to string, m Message) {
 	v.fleet.mu.Lock()
 	var target *testVM
-	lost := v.fleet.net.IntN(10) == 0
+	lost := v.fleet.networkRNG.IntN(10) == 0
 	for _, vm := range v.fleet.vms {
 		if vm.ID == to && !lost {
 			target = vm
@@ -126,8 +126,9 @@
 	}
 }
 
-// second plays one second of callers, and brings the caches up to date if the store is up.
-func (f *fleet) second() {
+// runSecond simulates the requests of one second, after it has updated the caches if
+// the store is up.
+func (f *fleet) runSecond() {
 	o, err := f.store.Get(f.t.Context(), config.RootKey)
 	for _, v := range f.vms {
 		if err == nil {
@@ -135,7 +136,7 @@
 			require.NoError(f.t, offered)
 		}
 		if r := v.cache.Snapshot().RollOuts["r"]; r != nil {
-			f.callers(v, r)
+			f.sendRequests(v, r)
 		}
 	}
 	if r := f.vms[0].cache.Snapshot().RollOuts["r"]; r != nil {
@@ -146,13 +147,13 @@
 	time.Sleep(time.Second)
 }
 
-func (f *fleet) callers(v *testVM, r *config.RollOut) {
+func (f *fleet) sendRequests(v *testVM, r *config.RollOut) {
 	for range 10 {
-		f.keys++
-		key := strconv.Itoa(f.keys)
+		f.keyCount++
+		key := strconv.Itoa(f.keyCount)
 		choice, ok := v.brakes.Choose(r, key, func(string) bool { return true })
 		require.True(f.t, ok)
-		bad := f.bad && choice.Version == "v2"
+		bad := f.newVersionBad && choice.Version == "v2"
 		if bad {
 			f.exposed++
 		}
@@ -164,20 +165,21 @@
 	}
 }
 
-// replace kills a VM without a word and starts another one in its data centre.
-func (f *fleet) replace(i int) {
+// killAndReplace kills a VM, which can't release its leases, and starts another one in
+// its data centre.
+func (f *fleet) killAndReplace(i int) {
 	f.mu.Lock()
 	v := f.vms[i]
 	f.vms = append(f.vms[:i:i], f.vms[i+1:]...)
 	f.mu.Unlock()
-	f.store.SetFaults(store.Faults{Down: true}) // so that it can't give its leases up
+	f.store.SetFaults(store.Faults{Down: true}) // the VM can't release its leases
 	v.stop()
 	synctest.Wait()
 	f.store.SetFaults(store.Faults{})
 	f.start(v.ID+"'", v.DataCentre)
 }
 
-func (f *fleet) holder() int {
+func (f *fleet) holderIndex() int {
 	for i, v := range f.vms {
 		if _, ok := v.loops.leases[leaseRollOuts].Held(); ok {
 			return i
@@ -195,9 +197,9 @@
 	synctest.Wait()
 }
 
-// A good roll-out goes its way while the holder of the lease is killed every
-// minute, replies are lost and the store has short outages. Callers see
-// each share once, in order, each for its time.
+// A good version is rolled out while the holder of the lease is killed every minute,
+// replies are lost and the store has short outages. Each step must take effect once,
+// in order, and last for its minimum time.
 func TestGoodRollOutUnderFaults(t *testing.T) {
 	for _, seed := range []uint64{seedA, seedB} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -206,9 +208,9 @@
 				defer f.stop()
 				killed := 0
 				for i := 0; i < 3600 && (i == 0 || f.state() != config.RollOutDone); i++ {
-					f.second()
-					if i%60 == 59 && f.holder() >= 0 {
-						f.replace(f.holder())
+					f.runSecond()
+					if i%60 == 59 && f.holderIndex() >= 0 {
+						f.killAndReplace(f.holderIndex())
 						killed++
 					}
 					if i%20 == 0 {
@@ -227,20 +229,20 @@
 	}
 }
 
-// The new version turns bad while the store is down and nobody holds the lease, or
-// with its holder killed in the same moment. Its callers are few: the VMs brake it, or the
-// next holder rolls it back.
+// The new version turns bad while the store is down and no VM holds the lease, while
+// replies are lost, or as the holder is killed. Few requests may reach the version: the
+// VMs must brake it, or the next holder must roll it back.
 func TestBadVersionUnderFaults(t *testing.T) {
 	for name, fault := range map[string]func(f *fleet){
 		"none": func(*fleet) {},
 		"store down": func(f *fleet) {
 			f.store.SetFaults(store.Faults{Down: true})
-			for range 20 { // the lease lapses
-				f.second()
+			for range 20 { // the lease expires
+				f.runSecond()
 			}
 		},
 		"replies lost":  func(f *fleet) { f.store.SetFaults(store.Faults{LoseReplies: 5}) },
-		"holder killed": func(f *fleet) { f.replace(f.holder()) },
+		"holder killed": func(f *fleet) { f.killAndReplace(f.holderIndex()) },
 	} {
 		for _, seed := range []uint64{seedA, seedB} {
 			t.Run(fmt.Sprint(name, "/", seed), func(t *testing.T) {
@@ -248,18 +250,18 @@
 					f := newFleet(t, seed)
 					defer f.stop()
 					for range 60 {
-						f.second()
+						f.runSecond()
 					}
-					require.GreaterOrEqual(t, f.holder(), 0)
+					require.GreaterOrEqual(t, f.holderIndex(), 0)
 					fault(f)
-					f.bad = true
+					f.newVersionBad = true
 					for range 300 {
-						f.second()
+						f.runSecond()
 					}
 					require.LessOrEqual(t, f.exposed, 200)
 					f.store.SetFaults(store.Faults{})
 					for range 30 {
-						f.second()
+						f.runSecond()
 					}
 					require.Equal(t, config.RollOutRolledBack, f.state())
 				})
@@ -268,19 +270,19 @@
 	}
 }
 
-// sink is a peer link that keeps what was sent.
-type sink struct {
+// recordingPeers implements Peers and records the messages.
+type recordingPeers struct {
 	vms  []VM
 	sent []Message
 }
 
-func (s *sink) VMs() []VM                                   { return s.vms }
-func (s *sink) Send(_ context.Context, _ string, m Message) { s.sent = append(s.sent, m) }
+func (s *recordingPeers) VMs() []VM                                   { return s.vms }
+func (s *recordingPeers) Send(_ context.Context, _ string, m Message) { s.sent = append(s.sent, m) }
 
-// A burst of answers from a wrong version must not become a burst of messages.
-func TestSuspectIsToldNowAndThen(t *testing.T) {
+// A burst of answers from a wrong version must not cause a burst of messages.
+func TestSuspectIsRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peers := &sink{}
+		peers := &recordingPeers{}
 		for i := range 20 {
 			peers.vms = append(peers.vms, VM{fmt.Sprint("vm-", i), "nord"})
 		}
@@ -290,10 +292,10 @@
 			l.Suspect(t.Context(), "e-1")
 			l.Suspect(t.Context(), "e-2")
 		}
-		require.Len(t, peers.sent, 2*candidates)
-		time.Sleep(repeatEvery)
+		require.Len(t, peers.sent, 2*candidatesPerLease)
+		time.Sleep(repeatInterval)
 		l.Suspect(t.Context(), "e-1")
-		require.Len(t, peers.sent, 3*candidates)
-		require.Equal(t, "e-1", peers.sent[2*candidates].Suspect)
+		require.Len(t, peers.sent, 3*candidatesPerLease)
+		require.Equal(t, "e-1", peers.sent[2*candidatesPerLease].Suspect)
 	})
 }
--- a/control/loops/message.go
+++ b/control/loops/message.go
@@ -6,40 +6,42 @@
 	"goldcrestfork/control/gather"
 )
 
-// VM is a live VM.
+// VM identifies a live VM.
 type VM struct {
-	// ID names this incarnation of the VM.
+	// ID identifies this incarnation of the VM.
 	ID string
-	// DataCentre is where it runs.
+	// DataCentre is the data centre in which the VM runs.
 	DataCentre string
 }
 
-// Peers reaches the other VMs.
+// Peers lists the live VMs and sends messages to them.
 type Peers interface {
-	// VMs returns the live VMs, this one included.
+	// VMs returns the live VMs, including this one.
 	VMs() []VM
-	// Send gives a message to a VM and returns without waiting for its arrival. A
-	// lost message is made up for by the next.
+	// Send sends a message to a VM and returns without waiting for its delivery.
+	// Messages may be lost; the loops repeat them.
 	Send(ctx context.Context, to string, m Message)
 }
 
-// Message goes between VMs; one field is set.
+// Message is one message between VMs; exactly one field is set.
 type Message struct {
-	// Report goes to the first VM of the sender's data centre.
+	// Report is sent to the aggregating VM of the sender's data centre.
 	Report *gather.Report `cbor:"1,keyasint,omitempty"`
-	// Digest goes from there to the candidates for the roll-outs' lease.
+	// Digest is sent by an aggregating VM to the candidates for the roll-out lease.
 	Digest *gather.Digest `cbor:"2,keyasint,omitempty"`
-	// Brake goes from a candidate to the first VM of each data centre, and from there to its VMs.
+	// Brake is sent by a candidate to the aggregating VM of each data centre, which
+	// relays it to the VMs there.
 	Brake *Brake `cbor:"3,keyasint,omitempty"`
-	// Suspect names an endpoint whose answer came from a wrong version; it goes to
-	// the candidates for the orders' lease.
+	// Suspect is the name of an endpoint that answered with a wrong version; it is
+	// sent to the candidates for the order lease.
 	Suspect string `cbor:"4,keyasint,omitempty"`
 }
 
-// Brake tells that a new version is bad while the roll-out can't be changed; see rollout.Brakes.
+// Brake asks VMs to stop sending new work to the new version of a roll-out that should
+// be rolled back but can't be changed at present; see rollout.Brakes.
 type Brake struct {
 	RollOut string `cbor:"1,keyasint"`
 	Epoch   int64  `cbor:"2,keyasint"`
-	// Relayed says that it comes from the first VM of the data centre.
+	// Relayed is true in messages that an aggregating VM relays to its data centre.
 	Relayed bool `cbor:"3,keyasint,omitempty"`
 }
