--- a/control/edited.go
+++ b/control/edited.go
@@ -9,7 +9,8 @@
 	"goldcrestfork/durable"
 )
 
-// Edited is the Configuration of a VM: it reads its cache and writes by its editor.
+// Edited implements Configuration on a VM: it reads the VM's configuration cache and
+// writes through the VM's editor.
 type Edited struct {
 	cache  *config.Cache
 	editor *config.Editor
@@ -17,7 +18,7 @@
 
 var _ Configuration = (*Edited)(nil)
 
-// NewEdited returns the Configuration over a cache and the editor that fills it.
+// NewEdited returns a Configuration that uses a cache and the editor that updates it.
 func NewEdited(cache *config.Cache, editor *config.Editor) *Edited {
 	return &Edited{cache: cache, editor: editor}
 }
@@ -25,8 +26,8 @@
 // Snapshot implements Configuration.
 func (e *Edited) Snapshot() *config.Snapshot { return e.cache.Snapshot() }
 
-// Update implements Configuration. A cache that isn't at ifRevision is a
-// conflict too: mutate would be given an object that the caller never judged.
+// Update implements Configuration. It also returns ErrConflict if the cache is not at
+// ifRevision, since mutate would receive an object that the caller did not evaluate.
 func (e *Edited) Update(ctx context.Context, kind config.Kind, name string, mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
 	current := e.cache.Snapshot().Get(kind, name)
 	if current == nil || config.MetaOf(current).Revision != ifRevision {
@@ -38,11 +39,11 @@
 	}
 	change := config.Change{Op: config.OpPut, Object: next, IfRevision: ifRevision}
 	revision, _, err := e.editor.Apply(ctx, []config.Change{change})
-	return revision, translate(err)
+	return revision, translateError(err)
 }
 
-// translate turns the editor's errors into Configuration's, and keeps the cause.
-func translate(err error) error {
+// translateError wraps an editor's error in the error that Configuration documents.
+func translateError(err error) error {
 	var conflict *config.ConflictError
 	var unknown *config.UnknownError
 	switch {
--- a/control/edited_test.go
+++ b/control/edited_test.go
@@ -16,7 +16,7 @@
 
 var errRefused = errors.New("refused by mutate")
 
-// vm is one VM's configuration over the shared platform.
+// vm is one VM's configuration cache and editor on the shared store.
 type vm struct {
 	*Edited
 	cache *config.Cache
@@ -26,19 +26,19 @@
 func newVM(s *store.Store) vm {
 	cache := config.NewCache(config.Options{Store: s})
 	editor := config.NewEditor(s, cache)
-	editor.Gate = nil // whether a VM may accept changes is config's matter
+	editor.Gate = nil // package config decides whether a VM may accept changes
 	return vm{NewEdited(cache, editor), cache, s}
 }
 
-// read brings the VM up to date.
-func (v vm) read(t *testing.T) {
+// refresh loads the current configuration into the VM's cache.
+func (v vm) refresh(t *testing.T) {
 	o, err := v.store.Get(t.Context(), config.RootKey)
 	require.NoError(t, err)
 	_, err = v.cache.Offer(o.Value)
 	require.NoError(t, err)
 }
 
-func seeded(t *testing.T, s *store.Store) vm {
+func newSeededVM(t *testing.T, s *store.Store) vm {
 	v := newVM(s)
 	version := func(name string) config.Change {
 		return config.Change{Object: &config.ModelVersion{
@@ -55,13 +55,13 @@
 
 func (v vm) rollOut() *config.RollOut { return v.Snapshot().RollOuts["r"] }
 
-func step(obj config.Object) error {
+func incrementStep(obj config.Object) error {
 	obj.(*config.RollOut).Step++
 	return nil
 }
 
-// The contract of Configuration.Update, over the real editor and a platform with
-// faults: a controller's step takes effect once and its error says truly whether.
+// Configuration.Update runs with the real editor on a store with faults. A
+// controller's step must take effect at most once, and the error must match the outcome.
 func TestUpdate(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults store.Faults
@@ -70,43 +70,43 @@
 		want   error
 		step   int
 	}{
-		"accepted":                      {mutate: step, step: 1},
-		"another VM was first":          {other: true, mutate: step, want: ErrConflict, step: 1},
-		"platform down":                 {faults: store.Faults{Down: true}, mutate: step, want: durable.ErrUnavailable},
-		"reply lost, effect took place": {faults: store.Faults{LoseReplies: 1}, mutate: step, step: 1},
-		"reply lost, without effect":    {faults: store.Faults{RefuseWrites: 1}, mutate: step, step: 1},
-		"replies lost until the end":    {faults: store.Faults{RefuseWrites: 1 << 20}, mutate: step, want: durable.ErrUnknown},
+		"accepted":                      {mutate: incrementStep, step: 1},
+		"another VM was first":          {other: true, mutate: incrementStep, want: ErrConflict, step: 1},
+		"platform down":                 {faults: store.Faults{Down: true}, mutate: incrementStep, want: durable.ErrUnavailable},
+		"reply lost, effect took place": {faults: store.Faults{LoseReplies: 1}, mutate: incrementStep, step: 1},
+		"reply lost, without effect":    {faults: store.Faults{RefuseWrites: 1}, mutate: incrementStep, step: 1},
+		"replies lost until the end":    {faults: store.Faults{RefuseWrites: 1 << 20}, mutate: incrementStep, want: durable.ErrUnknown},
 		"mutate refuses":                {mutate: func(config.Object) error { return errRefused }, want: errRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := store.New()
-				v, other := seeded(t, s), newVM(s)
-				judged := v.rollOut()
-				other.read(t)
+				v, other := newSeededVM(t, s), newVM(s)
+				evaluated := v.rollOut()
+				other.refresh(t)
 				if c.other {
-					_, err := other.Update(t.Context(), config.KindRollOut, "r", step, judged.Revision)
+					_, err := other.Update(t.Context(), config.KindRollOut, "r", incrementStep, evaluated.Revision)
 					require.NoError(t, err)
 				}
 				s.SetFaults(c.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
-				revision, err := v.Update(ctx, config.KindRollOut, "r", c.mutate, judged.Revision)
+				revision, err := v.Update(ctx, config.KindRollOut, "r", c.mutate, evaluated.Revision)
 				require.ErrorIs(t, err, c.want)
 				s.SetFaults(store.Faults{})
-				v.read(t)
+				v.refresh(t)
 				require.Equal(t, c.step, v.rollOut().Step)
-				require.Zero(t, judged.Step, "a published object never changes")
+				require.Zero(t, evaluated.Step, "a published object isn't modified")
 				if err == nil {
 					require.Equal(t, revision, v.rollOut().Revision)
 				}
 				if c.step == 1 {
-					_, err = v.Update(t.Context(), config.KindRollOut, "r", step, judged.Revision)
-					require.ErrorIs(t, err, ErrConflict, "a repeat on the judged revision loses")
+					_, err = v.Update(t.Context(), config.KindRollOut, "r", incrementStep, evaluated.Revision)
+					require.ErrorIs(t, err, ErrConflict, "a repeat on the old revision conflicts")
 				}
 			})
 		})
 	}
-	_, err := newVM(store.New()).Update(t.Context(), config.KindRollOut, "r", step, 1)
+	_, err := newVM(store.New()).Update(t.Context(), config.KindRollOut, "r", incrementStep, 1)
 	require.ErrorIs(t, err, ErrConflict, "unknown object")
 }
--- a/control/every.go
+++ b/control/every.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Every calls round at once and then each interval until ctx ends. A round that
-// takes longer than the interval is followed by the next at once.
-func Every(ctx context.Context, interval time.Duration, round func(context.Context)) {
+// RunEvery calls round immediately and then once per interval until ctx ends. After a
+// round that took longer than the interval the next one starts immediately.
+func RunEvery(ctx context.Context, interval time.Duration, round func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/control/orders/controller.go
+++ b/control/orders/controller.go
@@ -19,54 +19,60 @@
 // Interval is the time between rounds.
 const Interval = time.Second
 
-// Settings are the figures of a Controller.
+// Settings holds the time limits and bounds of a Controller.
 type Settings struct {
-	// Timeout bounds one order or report. Default 5 s: an engine takes an order
-	// in well under a second and loads in the background.
+	// Timeout bounds the call for one order or report. Default 5 s; an engine accepts
+	// an order in well under a second and loads the versions in the background.
 	Timeout time.Duration
-	// Flight is how long after its sender gave up an order may still take effect.
-	// Default 2 min: the kernel goes on sending what a closed connection still holds
-	// for 8 retries (Linux, tcp_orphan_retries), about 100 s from the least timeout
-	// of 200 ms; the rest is for the endpoint to read and act (estimated).
-	Flight time.Duration
-	// Recheck is the time until the report of an endpoint that is right is read
-	// again. Default 5 min: at 2,000 endpoints under seven reports a second.
-	Recheck time.Duration
-	// Workers bounds the calls at once. Default 16.
+	// MaxOrderDelay is how long an order may still take effect after its sender gave up.
+	// Default 2 min. The kernel goes on sending the buffered data of a closed connection
+	// for 8 retries (tcp_orphan_retries on Linux), about 100 s from the minimum
+	// retransmission timeout of 200 ms; the remaining time is for the endpoint to read
+	// the order and act on it.
+	MaxOrderDelay time.Duration
+	// RecheckInterval is the time until the controller reads the report of an endpoint
+	// with the wanted placement again. Default 5 min, which is less than seven reports
+	// per second for 2,000 endpoints.
+	RecheckInterval time.Duration
+	// Workers bounds the number of concurrent calls. Default 16.
 	Workers int
-	// PerRound bounds the endpoints of one round. Default 40: all 2,000 get theirs
-	// in 101 s (BenchmarkRound), with at most 40 of the platform's several hundred writes a second.
-	PerRound int
+	// MaxPerRound bounds the endpoints handled in one round. Default 40: 2,000 endpoints
+	// get their orders in 101 s (BenchmarkRound), with at most 40 of the several hundred
+	// writes per second that the platform allows.
+	MaxPerRound int
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default Settings.
 func DefaultSettings() Settings {
-	return Settings{Timeout: 5 * time.Second, Flight: 2 * time.Minute, Recheck: 5 * time.Minute, Workers: 16, PerRound: 40}
+	return Settings{Timeout: 5 * time.Second, MaxOrderDelay: 2 * time.Minute, RecheckInterval: 5 * time.Minute, Workers: 16, MaxPerRound: 40}
 }
 
-// Holder says whether this VM should run the loop; see lease.Lease.
+// Holder reports whether this VM should run the loop, and until when; lease.Lease
+// implements it.
 type Holder interface {
 	Held() (until time.Time, ok bool)
 }
 
-// Source returns the configuration in force; see control.Configuration.
+// Source returns the configuration in force; control.Configuration implements it.
 type Source interface {
 	Snapshot() *config.Snapshot
 }
 
-// Status is one endpoint's part of the state dump.
+// Status holds one endpoint's part of the state dump.
 type Status struct {
 	Endpoint string    `json:"endpoint"`
 	State    string    `json:"state"`
 	Wanted   Placement `json:"wanted"`
-	// Problem tells why it isn't right yet.
+	// Problem is the reason why the endpoint doesn't have the wanted placement yet.
 	Problem string `json:"problem,omitempty"`
-	// Next is the time until the next step; an unfenced endpoint waits out orders on their way.
+	// Next is the time until the next step; for an unfenced endpoint it includes the
+	// wait for orders in flight.
 	Next  time.Duration `json:"next"`
 	Fence int64         `json:"fence"`
 }
 
-// Controller runs the loop. Safe for concurrent use.
+// Controller sends each model engine the orders that the configuration requires. It is
+// safe for concurrent use.
 type Controller struct {
 	holder    Holder
 	source    Source
@@ -76,14 +82,14 @@
 	metrics   metrics
 	log       zerolog.Logger
 
-	tick sync.Mutex
+	roundMu sync.Mutex
 	// tasks is nil while the lease isn't held.
 	tasks map[string]*task
-	// tookAt is when a round first found the lease held.
-	tookAt time.Time
+	// leaseHeldSince is the time at which a round first found the lease held.
+	leaseHeldSince time.Time
 
 	mu       sync.Mutex
-	status   map[string]Status
+	statuses map[string]Status
 	suspects map[string]bool
 }
 
@@ -96,13 +102,14 @@
 func New(h Holder, src Source, store durable.Store, e Endpoints, s Settings, reg prometheus.Registerer, log zerolog.Logger) *Controller {
 	c := &Controller{
 		holder: h, source: src, store: store, endpoints: e, settings: s, log: log,
-		status: make(map[string]Status), suspects: make(map[string]bool),
+		statuses: make(map[string]Status), suspects: make(map[string]bool),
 		metrics: metrics{
 			// goldcrest_endpoint_orders_total counts orders by outcome.
 			orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 				Name: "goldcrest_endpoint_orders_total", Help: "Orders sent to endpoints, by outcome.",
 			}, []string{"outcome"}),
-			// goldcrest_endpoint_differences_total counts reports that were not as wanted.
+			// goldcrest_endpoint_differences_total counts reports that differed from the
+			// wanted placement.
 			differences: prometheus.NewCounter(prometheus.CounterOpts{
 				Name: "goldcrest_endpoint_differences_total", Help: "Endpoint reports that differed from the configuration.",
 			}),
@@ -112,11 +119,11 @@
 	return c
 }
 
-// Run does a round each Interval until ctx ends.
-func (c *Controller) Run(ctx context.Context) { control.Every(ctx, Interval, c.Tick) }
+// Run does a round every Interval until ctx ends.
+func (c *Controller) Run(ctx context.Context) { control.RunEvery(ctx, Interval, c.Tick) }
 
-// Suspect has an endpoint's report read in the next round, as when an answer
-// came from a version that it shouldn't have loaded.
+// Suspect schedules the read of an endpoint's report for the next round, for example
+// after an answer from a version that the endpoint should not have loaded.
 func (c *Controller) Suspect(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,67 +132,67 @@
 
 // Tick does one round, if this VM holds the lease.
 func (c *Controller) Tick(ctx context.Context) {
-	c.tick.Lock()
-	defer c.tick.Unlock()
+	c.roundMu.Lock()
+	defer c.roundMu.Unlock()
 	if _, held := c.holder.Held(); !held {
-		c.drop()
+		c.reset()
 		return
 	}
 	if c.tasks == nil {
-		c.tasks, c.tookAt = make(map[string]*task), time.Now()
+		c.tasks, c.leaseHeldSince = make(map[string]*task), time.Now()
 	}
 	s := c.source.Snapshot()
 	var workers errgroup.Group
 	workers.SetLimit(c.settings.Workers)
 	for _, d := range c.dueTasks(s) {
 		workers.Go(func() error {
-			before := d.problem
+			problemBefore := d.problem
 			c.step(ctx, d.task, s, d.endpoint)
-			c.note(d.endpoint.Name, d.task, before)
+			c.recordStatus(d.endpoint.Name, d.task, problemBefore)
 			return nil
 		})
 	}
-	_ = workers.Wait() // steps note their problems in their task
+	_ = workers.Wait() // each step records its problem in its task
 }
 
-// drop forgets everything: another holder may act from now on.
-func (c *Controller) drop() {
+// reset drops all tasks, statuses and suspects, since another VM may hold the lease now.
+func (c *Controller) reset() {
 	c.tasks = nil
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.status)
+	clear(c.statuses)
 	clear(c.suspects)
 }
 
-// dueTask is a task with its endpoint.
+// dueTask pairs a task with its endpoint.
 type dueTask struct {
 	*task
 	endpoint *config.Endpoint
 }
 
-// dueTasks returns the tasks to work on now, the longest due first, after tasks
-// came and went with the configuration.
+// dueTasks adds and removes tasks as the configuration requires, and returns at most
+// Settings.MaxPerRound due tasks, the longest due first.
 func (c *Controller) dueTasks(s *config.Snapshot) []dueTask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.tasks {
-		if !ordered(s.Endpoints[name]) {
+		if !takesOrders(s.Endpoints[name]) {
 			delete(c.tasks, name)
-			delete(c.status, name)
+			delete(c.statuses, name)
 		}
 	}
 	now := time.Now()
 	var due []dueTask
 	for name, e := range s.Endpoints {
-		if !ordered(e) {
+		if !takesOrders(e) {
 			continue
 		}
 		t, ok := c.tasks[name]
 		if !ok {
-			t = newTask(c.firstStep(e))
+			t = newTask(c.firstStepAt(e))
 			c.tasks[name] = t
 		}
-		if t.state() == stateRight && (c.suspects[name] || t.outdated(s, e)) {
+		if t.state() == stateAsWanted && (c.suspects[name] || t.wantedChanged(s, e)) {
 			t.due = earlier(t.due, now)
 		}
 		if !now.Before(t.due) {
@@ -194,45 +201,47 @@
 	}
 	clear(c.suspects)
 	slices.SortFunc(due, func(a, b dueTask) int { return a.due.Compare(b.due) })
-	return due[:min(len(due), c.settings.PerRound)]
+	return due[:min(len(due), c.settings.MaxPerRound)]
 }
 
-// ordered says whether an endpoint takes orders: a model engine that stays.
-func ordered(e *config.Endpoint) bool {
+// takesOrders reports whether an endpoint takes orders, which is the case for a model
+// engine that is not leaving.
+func takesOrders(e *config.Endpoint) bool {
 	return e != nil && e.Service == "" && e.State != config.EndpointLeaving
 }
 
-// firstStep is when an endpoint may be ordered about after the lease was taken:
-// at once if it refuses late orders, else when none can be on its way any more.
-// Without the wait an order of the holder before could land after ours.
-func (c *Controller) firstStep(e *config.Endpoint) time.Time {
+// firstStepAt returns the time of an endpoint's first step after this VM took the
+// lease: at once if the endpoint refuses late orders, otherwise when no order can be in
+// flight any more. Without this wait an order of the previous holder could take effect
+// after one of this VM.
+func (c *Controller) firstStepAt(e *config.Endpoint) time.Time {
 	if e.Fenced {
-		return c.tookAt
+		return c.leaseHeldSince
 	}
-	return c.tookAt.Add(c.settings.Timeout + c.settings.Flight)
+	return c.leaseHeldSince.Add(c.settings.Timeout + c.settings.MaxOrderDelay)
 }
 
-// note keeps a task's state for the dump, and logs a problem once.
-func (c *Controller) note(name string, t *task, before string) {
+// recordStatus stores a task's state for the dump, and logs its problem if that changed.
+func (c *Controller) recordStatus(name string, t *task, problemBefore string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.status[name] = Status{
+	c.statuses[name] = Status{
 		Endpoint: name, State: t.state(), Wanted: t.wanted, Problem: t.problem,
 		Next: time.Until(t.due), Fence: t.fence,
 	}
-	if t.problem != before {
+	if t.problem != problemBefore {
 		c.log.Info().Str("endpoint", name).Str("state", t.state()).Str("problem", t.problem).Msg("endpoint orders")
 	}
 }
 
-// Dump explains, by name, where each endpoint stands and why. It is empty on a
-// VM that doesn't hold the lease; Next is as of the task's last step.
+// Dump returns the status of each endpoint, sorted by name. It is empty on a VM that
+// doesn't hold the lease. Status.Next is as of the task's last step.
 func (c *Controller) Dump() []Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Status
-	for _, name := range slices.Sorted(maps.Keys(c.status)) {
-		out = append(out, c.status[name])
+	for _, name := range slices.Sorted(maps.Keys(c.statuses)) {
+		out = append(out, c.statuses[name])
 	}
 	return out
 }
--- a/control/orders/controller_test.go
+++ b/control/orders/controller_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// engines are the stand-ins by endpoint name.
+// engines maps endpoint names to stand-in engines; it implements Endpoints.
 type engines map[string]*order.Endpoint
 
 func (e engines) Order(ctx context.Context, ep *config.Endpoint, o Order) error {
@@ -37,7 +37,8 @@
 	return Report{Placement: Placement{r.Versions, r.Role}, Incarnation: int64(r.Incarnation)}, err
 }
 
-// vm is one VM's controller with what it sees and whether it thinks it holds the lease.
+// vm is one VM's controller with its configuration and its belief on whether it holds
+// the lease.
 type vm struct {
 	*Controller
 	snapshot atomic.Pointer[config.Snapshot]
@@ -47,7 +48,8 @@
 func (v *vm) Held() (time.Time, bool)    { return time.Now().Add(time.Hour), v.held }
 func (v *vm) Snapshot() *config.Snapshot { return v.snapshot.Load() }
 
-// snapshot gives endpoint "e" the versions; Fenced is as the stand-in is.
+// snapshot returns a configuration in which endpoint "e" serves the versions; fenced
+// must match the stand-in.
 func snapshot(revision int64, fenced bool, versions ...string) *config.Snapshot {
 	s := &config.Snapshot{Revision: revision, Versions: map[string]*config.ModelVersion{}}
 	for _, name := range []string{"v1", "v2", "v3"} {
@@ -66,7 +68,7 @@
 	return v
 }
 
-// run ticks the VMs' controllers each second for d.
+// run ticks the VMs' controllers every Interval for d.
 func run(t *testing.T, d time.Duration, vms ...*vm) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(Interval) {
 		for _, v := range vms {
@@ -81,13 +83,12 @@
 	return r.Versions
 }
 
-const settle = 3 * time.Minute // DefaultSettings' waits for an unfenced endpoint, and some rounds
+const settleTime = 3 * time.Minute // the default waits for an unfenced endpoint and some rounds
 
-// An order is still on its way, its sender has given up, when a newer
-// configuration has another version ordered, by another VM that took over or by
-// the same one. Callers must not be given the old version again when the late
-// order comes: a fenced endpoint refuses it, at an unfenced one the sender has
-// waited until it came.
+// An order is still in flight after its sender gave up when the same VM or a new holder
+// orders the version of a newer configuration. The late order must not bring the old
+// version back: a fenced endpoint refuses it, and with an unfenced one the sender waits
+// until it has arrived.
 func TestLateOrder(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		for _, takeover := range []bool{true, false} {
@@ -111,14 +112,14 @@
 	} else {
 		v.snapshot.Store(snapshot(2, fenced, "v2"))
 	}
-	became := false
+	switched := false
 	for range 600 {
 		run(t, Interval, v)
 		now := loaded(t, e)
-		became = became || len(now) == 1 && now[0] == "v2"
-		require.False(t, became && now[0] != "v2", "fell back to %v", now)
+		switched = switched || len(now) == 1 && now[0] == "v2"
+		require.False(t, switched && now[0] != "v2", "fell back to %v", now)
 	}
-	require.True(t, became)
+	require.True(t, switched)
 	if _, _, refused := e.Counts(); fenced {
 		require.Equal(t, 1, refused)
 	}
@@ -129,25 +130,25 @@
 	return len(d) == 1 && d[0].Problem != ""
 }
 
-// What goes wrong between a settled endpoint and the controller, and what is
-// right in the end: the placement of the newest configuration, by so many orders
-// that changed anything.
-func TestPutRight(t *testing.T) {
+// A fault occurs on an endpoint that has the wanted placement. The endpoint must end up
+// with the placement of the newest configuration where an order is possible, after the
+// given number of orders that changed it.
+func TestReconcileAfterFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault   func(v *vm, s *store.Store, e *order.Endpoint)
 		after   time.Duration
 		want    []string
 		changed int
 	}{
-		"nothing": {func(*vm, *store.Store, *order.Endpoint) {}, settle, []string{"v1"}, 1},
+		"nothing": {func(*vm, *store.Store, *order.Endpoint) {}, settleTime, []string{"v1"}, 1},
 		"reply to the order lost": {func(v *vm, _ *store.Store, e *order.Endpoint) {
 			e.SetFaults(order.Faults{LoseReplies: 1})
 			v.snapshot.Store(snapshot(2, true, "v2"))
-		}, settle, []string{"v2"}, 2},
+		}, settleTime, []string{"v2"}, 2},
 		"reply to the record lost": {func(v *vm, s *store.Store, _ *order.Endpoint) {
 			s.SetFaults(store.Faults{LoseReplies: 1})
 			v.snapshot.Store(snapshot(2, true, "v2"))
-		}, settle, []string{"v2"}, 2},
+		}, settleTime, []string{"v2"}, 2},
 		"a version is withdrawn": {func(v *vm, _ *store.Store, _ *order.Endpoint) {
 			next := snapshot(2, true, "v1", "v2")
 			next.Versions["v1"].State = config.VersionWithdrawn
@@ -155,13 +156,13 @@
 		}, 2 * Interval, []string{"v2"}, 2},
 		"restart, found by the recheck": {func(_ *vm, _ *store.Store, e *order.Endpoint) {
 			e.Restart()
-		}, DefaultSettings().Recheck + settle, []string{"v1"}, 2},
+		}, DefaultSettings().RecheckInterval + settleTime, []string{"v1"}, 2},
 		"restart, found by an answer": {func(v *vm, _ *store.Store, e *order.Endpoint) {
 			e.Restart()
 			v.Suspect("e")
 		}, 2 * Interval, []string{"v1"}, 2},
 		"an order later than any bound": {func(v *vm, _ *store.Store, e *order.Endpoint) {
-			e.Restart() // forgets the fencing number
+			e.Restart() // the endpoint loses its fencing number
 			_ = e.Order(context.Background(), order.Order{Fence: 1, Versions: []string{"v3"}})
 			v.Suspect("e")
 		}, 2 * Interval, []string{"v1"}, 3},
@@ -169,7 +170,7 @@
 			e.SetFaults(order.Faults{Down: true})
 			v.snapshot.Store(snapshot(2, true, "v2"))
 			time.AfterFunc(10*time.Minute, func() { e.SetFaults(order.Faults{}) })
-		}, 10*time.Minute + settle, []string{"v2"}, 2},
+		}, 10*time.Minute + settleTime, []string{"v2"}, 2},
 		"store down: no order without a record": {func(v *vm, s *store.Store, _ *order.Endpoint) {
 			s.SetFaults(store.Faults{Down: true})
 			v.snapshot.Store(snapshot(2, true, "v2"))
@@ -178,23 +179,23 @@
 			s.SetFaults(store.Faults{Down: true})
 			v.snapshot.Store(snapshot(2, true, "v2"))
 			time.AfterFunc(10*time.Minute, func() { s.SetFaults(store.Faults{}) })
-		}, 10*time.Minute + settle, []string{"v2"}, 2},
+		}, 10*time.Minute + settleTime, []string{"v2"}, 2},
 		"lease lost": {func(v *vm, _ *store.Store, _ *order.Endpoint) {
 			v.held = false
 			v.snapshot.Store(snapshot(2, true, "v2"))
-		}, settle, []string{"v1"}, 1},
+		}, settleTime, []string{"v1"}, 1},
 		"endpoint is leaving": {func(v *vm, _ *store.Store, _ *order.Endpoint) {
 			next := snapshot(2, true, "v2")
 			next.Endpoints["e"].State = config.EndpointLeaving
 			v.snapshot.Store(next)
-		}, settle, []string{"v1"}, 1},
+		}, settleTime, []string{"v1"}, 1},
 	} {
 		for _, fenced := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, "/fenced=", fenced), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s, e := store.New(), order.New(fenced)
 					v := newVM(s, engines{"e": e}, snapshot(1, fenced, "v1"))
-					run(t, settle, v)
+					run(t, settleTime, v)
 					require.Equal(t, []string{"v1"}, loaded(t, e))
 					c.fault(v, s, e)
 					v.Snapshot().Endpoints["e"].Fenced = fenced
@@ -208,16 +209,16 @@
 	}
 }
 
-// Two VMs both believe that they hold the lease, and one has the configuration of
-// before. The endpoint must not be moved to and fro between two versions, each
-// move a cold start for its callers.
-func TestTwoHoldersWithUnlikeConfigurations(t *testing.T) {
+// Two VMs both believe that they hold the lease, and one has an old configuration. They
+// must not switch the endpoint back and forth between two versions, since each switch
+// is a cold start for its callers.
+func TestTwoHoldersWithDifferentConfigurations(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		t.Run(fmt.Sprint("fenced=", fenced), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s, e := store.New(), order.New(fenced)
 				old := newVM(s, engines{"e": e}, snapshot(1, fenced, "v1"))
-				run(t, settle, old)
+				run(t, settleTime, old)
 				next := newVM(s, engines{"e": e}, snapshot(2, fenced, "v2"))
 				for range 1200 {
 					old.Suspect("e")
@@ -233,18 +234,19 @@
 	}
 }
 
-// right counts the endpoints that are as wanted.
-func right(v *vm) int {
+// countAsWanted returns the number of endpoints with the wanted placement.
+func countAsWanted(v *vm) int {
 	n := 0
 	for _, s := range v.Dump() {
-		if s.State == stateRight {
+		if s.State == stateAsWanted {
 			n++
 		}
 	}
 	return n
 }
 
-// BenchmarkRound is the CPU of a round in which nothing is due, by endpoints.
+// BenchmarkRound measures the CPU time of a round without due tasks, by the number of
+// endpoints.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint("endpoints=", n), func(b *testing.B) {
@@ -258,7 +260,7 @@
 			platform := store.New()
 			v := newVM(platform, all, s)
 			rounds := 0
-			for right(v) <= n { // "e" is one more
+			for countAsWanted(v) <= n { // "e" is one more
 				v.Tick(b.Context())
 				rounds++
 			}
--- a/control/orders/doc.go
+++ b/control/orders/doc.go
@@ -1,26 +1,26 @@
-// Package orders keeps each model engine on the versions and the role that the
-// configuration gives it.
+// Package orders keeps the versions and the role of each model engine as the
+// configuration specifies them.
 //
-// An order is absolute: it names all versions and the role, so a doubled one
-// changes nothing. What an endpoint should have is first recorded in the
-// platform by a conditional write, together with the configuration revision it
-// follows from; the record's version is the order's fencing number. A record only
-// moves to a higher revision. So two holders of the lease, one of them with an
-// old configuration, can't move an endpoint to and fro.
+// An order is absolute: it lists all versions and the role, so that a duplicate has no
+// effect. The controller first records the wanted placement of an endpoint in the
+// platform's store by a conditional write, together with the configuration revision
+// that it follows from; the record's version is the order's fencing number. A record
+// only moves to a higher revision. Two holders of the lease, one of them with an old
+// configuration, therefore can't switch an endpoint back and forth.
 //
-// An endpoint that checks fencing numbers refuses what comes late. One that
-// ignores them (config.Endpoint.Fenced is false) would obey it. There
-//   - a new holder first waits until no order of its predecessor can be on its way;
-//   - after an order without an answer it waits as long before it sends another;
-//   - the endpoint's report is read back, again and again, and put right. This
-//     also covers an order from a holder that was paused for longer than any
-//     bound, and a restart, which forgets the fencing number.
+// An endpoint that checks fencing numbers refuses late orders. One that ignores them
+// (config.Endpoint.Fenced is false) would obey a late order. For such an endpoint
+//   - a new holder first waits until no order of its predecessor can be in flight;
+//   - after an order without an answer the controller waits as long before the next one;
+//   - the controller reads the endpoint's report repeatedly and corrects differences.
+//     This also covers an order from a holder that was paused for longer than any
+//     bound, and a restart, in which the endpoint loses its fencing number.
 //
-// Between a late order and its correction the endpoint may have the wrong
-// version loaded; the router checks the version on each answer, and tells this
-// package by Suspect.
+// Between a late order and its correction the endpoint may have the wrong version
+// loaded. The router checks the version of each answer and reports a wrong one through
+// Controller.Suspect.
 //
-// Lock order: Controller.tick, held over a round with its calls, before
-// Controller.mu, a leaf that guards the state dump and the suspects. Workers of
-// a round each have one task to themselves.
+// Lock order: Controller.roundMu, which is held during a round with its calls, before
+// Controller.mu, a leaf that guards the state dump and the suspects. Each worker of a
+// round has exclusive use of one task.
 package orders
--- a/control/orders/placement.go
+++ b/control/orders/placement.go
@@ -12,27 +12,29 @@
 	"goldcrestfork/durable"
 )
 
-// Kind is the platform's kind of placement records; a record has its endpoint's name.
+// Kind is the kind of placement records in the platform's store. A record has the name
+// of its endpoint.
 const Kind = "placement"
 
-// RoleLabel is the endpoint label that names the engine's role; without it the role is empty.
+// RoleLabel is the endpoint label that holds the engine's role; without it the role is
+// empty.
 const RoleLabel = "role"
 
-// Placement is what an endpoint should have, or has.
+// Placement holds the model versions and the role that an endpoint has or should have.
 type Placement struct {
-	// Versions are the model versions loaded, ascending.
+	// Versions lists the loaded model versions in ascending order.
 	Versions []string `cbor:"1,keyasint" json:"versions"`
 	// Role is the engine's role.
 	Role string `cbor:"2,keyasint" json:"role,omitempty"`
 }
 
-// Equal says whether two placements are the same.
+// Equal reports whether two placements are the same.
 func (p Placement) Equal(o Placement) bool {
 	return p.Role == o.Role && slices.Equal(p.Versions, o.Versions)
 }
 
-// Wanted is the placement that a configuration gives an endpoint: of the
-// versions it may serve, those that are not withdrawn.
+// Wanted returns the placement that a configuration specifies for an endpoint. It
+// includes the versions that the endpoint may serve and that are not withdrawn.
 func Wanted(s *config.Snapshot, e *config.Endpoint) Placement {
 	p := Placement{Role: e.Labels[RoleLabel], Versions: []string{}}
 	for _, name := range e.Versions {
@@ -44,91 +46,93 @@
 	return p
 }
 
-// Order is sent to an endpoint.
+// Order tells an endpoint which versions and role to take on.
 type Order struct {
 	Placement
 	// Fence is the fencing number: the version of the endpoint's record.
 	Fence int64
 }
 
-// Report is what an endpoint says of itself.
+// Report holds an endpoint's state as the endpoint reports it.
 type Report struct {
 	Placement
-	// Incarnation changes with each restart.
+	// Incarnation changes with each restart of the endpoint.
 	Incarnation int64
 }
 
-// Endpoints reaches the endpoints.
+// Endpoints sends orders to the endpoints and reads their reports.
 type Endpoints interface {
-	// Order sends an order. A nil error means that it took effect. ErrFenced means
-	// that it had none. After any other error it may take effect until
-	// Settings.Flight after ctx ended.
+	// Order sends an order. A nil error means that the order took effect, ErrFenced
+	// that it had no effect. After any other error the order may still take effect
+	// until Settings.MaxOrderDelay after ctx ended.
 	Order(ctx context.Context, e *config.Endpoint, o Order) error
-	// Report asks for the endpoint's state.
+	// Report returns the endpoint's state.
 	Report(ctx context.Context, e *config.Endpoint) (Report, error)
 }
 
-// ErrFenced: the endpoint has obeyed an order with a higher fencing number.
+// ErrFenced means that the endpoint has already obeyed an order with a higher fencing
+// number.
 var ErrFenced = errors.New("order refused for its old fencing number")
 
 // record is a placement record's value.
 type record struct {
 	Placement
-	// Revision is the configuration revision it follows from.
+	// Revision is the configuration revision that the placement follows from.
 	Revision int64 `cbor:"3,keyasint"`
 }
 
-// recorded is a record and its version, which is the fencing number.
-type recorded struct {
+// storedRecord is a record with its version in the store, which is the fencing number.
+type storedRecord struct {
 	record
 	version int64
 }
 
-func decode(o durable.Object) (recorded, error) {
-	r := recorded{version: o.Version}
+func decodeRecord(o durable.Object) (storedRecord, error) {
+	r := storedRecord{version: o.Version}
 	if err := cbor.Unmarshal(o.Value, &r.record); err != nil {
 		return r, trace.Wrap(err, "placement record %s", o.Key)
 	}
 	return r, nil
 }
 
-// read returns an endpoint's record; version zero where there is none.
-func read(ctx context.Context, s durable.Store, name string) (recorded, error) {
+// readRecord returns an endpoint's record, with version zero if there is none.
+func readRecord(ctx context.Context, s durable.Store, name string) (storedRecord, error) {
 	o, err := s.Get(ctx, durable.Key{Kind: Kind, Name: name})
 	if errors.Is(err, durable.ErrNotFound) {
-		return recorded{}, nil
+		return storedRecord{}, nil
 	}
 	if err != nil {
-		return recorded{}, err
+		return storedRecord{}, err
 	}
-	return decode(o)
+	return decodeRecord(o)
 }
 
-// errOutdated: the record follows from a later configuration than this VM has.
+// errOutdated means that the record follows from a later configuration than this VM has.
 var errOutdated = errors.New("placement recorded from a later configuration")
 
-// put records a placement that follows from revision, unless the record already
-// says so, and returns the record to send orders by. After a conflict or a lost
-// reply nothing is sent: the next try reads what is there.
+// writeRecord records a placement that follows from revision, unless the record already
+// holds it, and returns the record that the order is based on. After a conflict or a
+// lost reply it returns an error and no order is sent; the next attempt reads the
+// record again.
 //
-// Without the rule on revisions a holder with an old configuration and one with
-// a new one would overwrite each other's records in turn, each with a higher
-// fencing number than the last.
-func put(ctx context.Context, s durable.Store, name string, now recorded, p Placement, revision int64) (recorded, error) {
-	if now.version != 0 && now.Equal(p) {
-		return now, nil
+// It refuses to replace a record of the same or a later revision. Otherwise two holders,
+// one with an old and one with a new configuration, would overwrite each other's
+// records in turn, each with a higher fencing number.
+func writeRecord(ctx context.Context, s durable.Store, name string, current storedRecord, p Placement, revision int64) (storedRecord, error) {
+	if current.version != 0 && current.Equal(p) {
+		return current, nil
 	}
-	if now.version != 0 && now.Revision >= revision {
-		return now, errOutdated
+	if current.version != 0 && current.Revision >= revision {
+		return current, errOutdated
 	}
 	next := record{Placement: p, Revision: revision}
 	value, err := cbor.Marshal(next)
 	if err != nil {
-		return now, trace.Wrap(err)
+		return current, trace.Wrap(err)
 	}
-	o, err := s.Put(ctx, durable.Key{Kind: Kind, Name: name}, value, now.version)
+	o, err := s.Put(ctx, durable.Key{Kind: Kind, Name: name}, value, current.version)
 	if err != nil {
-		return now, err
+		return current, err
 	}
-	return recorded{next, o.Version}, nil
+	return storedRecord{next, o.Version}, nil
 }
--- a/control/orders/task.go
+++ b/control/orders/task.go
@@ -13,53 +13,54 @@
 
 // The states of one endpoint's task.
 const (
-	// stateSettling: an order of an earlier holder may still be on its way.
+	// stateSettling means that an order of an earlier holder may still be in flight.
 	stateSettling = "settling"
-	// stateChecking: the report is to be read.
+	// stateChecking means that the report must be read.
 	stateChecking = "checking"
-	// stateOrdering: the report differs, an order is to be sent.
+	// stateOrdering means that the report differs and an order must be sent.
 	stateOrdering = "ordering"
-	// stateDoubtful: an order got no answer and may still be on its way.
+	// stateDoubtful means that an order got no answer and may still be in flight.
 	stateDoubtful = "doubtful"
-	// stateRight: the report was as wanted; it is read again now and then.
-	stateRight = "right"
+	// stateAsWanted means that the last report showed the wanted placement; the report
+	// is read again after Settings.RecheckInterval.
+	stateAsWanted = "right"
 )
 
-// The triggers.
+// The triggers of a task's state machine.
 const (
-	triggerQuiet      = "quiet"
-	triggerMatches    = "matches"
-	triggerDiffers    = "differs"
-	triggerAnswered   = "answered"
-	triggerUnanswered = "unanswered"
-	triggerOverdue    = "overdue"
+	triggerNoneInFlight = "quiet"
+	triggerMatches      = "matches"
+	triggerDiffers      = "differs"
+	triggerAnswered     = "answered"
+	triggerUnanswered   = "unanswered"
+	triggerRecheck      = "overdue"
 )
 
 func newMachine() *stateless.StateMachine {
 	m := stateless.NewStateMachine(stateSettling)
-	m.Configure(stateSettling).Permit(triggerQuiet, stateChecking)
+	m.Configure(stateSettling).Permit(triggerNoneInFlight, stateChecking)
 	m.Configure(stateChecking).
-		Permit(triggerMatches, stateRight).
+		Permit(triggerMatches, stateAsWanted).
 		Permit(triggerDiffers, stateOrdering)
 	m.Configure(stateOrdering).
 		Permit(triggerAnswered, stateChecking).
 		Permit(triggerUnanswered, stateDoubtful)
-	m.Configure(stateDoubtful).Permit(triggerQuiet, stateChecking)
-	m.Configure(stateRight).Permit(triggerOverdue, stateChecking)
+	m.Configure(stateDoubtful).Permit(triggerNoneInFlight, stateChecking)
+	m.Configure(stateAsWanted).Permit(triggerRecheck, stateChecking)
 	return m
 }
 
-// task is one endpoint's. One worker at a time has it.
+// task brings one endpoint to its wanted placement. At most one worker at a time uses it.
 type task struct {
 	machine *stateless.StateMachine
-	// due is when the next step may be taken, by this process's monotonic clock.
+	// due is the earliest time of the next step, by this process's monotonic clock.
 	due time.Time
-	// wanted is what the last step worked for, by the configuration at revision;
-	// problem is why it got no further.
+	// wanted is the placement at the last step, from the configuration at revision;
+	// problem is the reason why the step failed.
 	wanted   Placement
 	revision int64
 	problem  string
-	// failures in a row lengthen the pause between tries.
+	// failures is the number of consecutive failures, which sets the retry delay.
 	failures int
 
 	// fence is the fencing number of the last order.
@@ -70,15 +71,15 @@
 
 func (t *task) state() string { return t.machine.MustState().(string) }
 
-// fire is for triggers that the state permits.
+// fire applies a trigger that the current state permits.
 func (t *task) fire(trigger string) {
 	if err := t.machine.Fire(trigger); err != nil {
-		panic(err) // a step that doesn't know its state is a broken invariant
+		panic(err) // a trigger that the state doesn't permit is a broken invariant
 	}
 }
 
-// outdated says whether the configuration wants something else by now.
-func (t *task) outdated(s *config.Snapshot, e *config.Endpoint) bool {
+// wantedChanged reports whether the wanted placement has changed since the last step.
+func (t *task) wantedChanged(s *config.Snapshot, e *config.Endpoint) bool {
 	if s.Revision == t.revision {
 		return false
 	}
@@ -86,25 +87,25 @@
 	return !t.wanted.Equal(Wanted(s, e))
 }
 
-// maxPause bounds the pause between tries at an endpoint that doesn't answer.
-const maxPause = time.Minute
+// maxRetryDelay bounds the delay between attempts on an endpoint that doesn't answer.
+const maxRetryDelay = time.Minute
 
-// failed notes a failure and pauses: 1 s, 2 s, 4 s, … up to maxPause, so that a
-// pool of dead endpoints takes no worker from the live ones.
-func (t *task) failed(problem string, now time.Time) {
+// recordFailure records a failure and delays the next step by 1 s, 2 s, 4 s, … up to
+// maxRetryDelay, so that a pool of dead endpoints doesn't occupy the workers.
+func (t *task) recordFailure(problem string, now time.Time) {
 	t.problem = problem
-	pause := min(maxPause, time.Second<<min(t.failures, 10))
+	delay := min(maxRetryDelay, time.Second<<min(t.failures, 10))
 	t.failures++
-	t.due = now.Add(pause)
+	t.due = now.Add(delay)
 }
 
-// step takes the task as far as it goes now.
+// step advances the task: it reads the report and, if that differs, sends an order.
 func (c *Controller) step(ctx context.Context, t *task, s *config.Snapshot, e *config.Endpoint) {
 	switch t.state() {
 	case stateSettling, stateDoubtful:
-		t.fire(triggerQuiet)
-	case stateRight:
-		t.fire(triggerOverdue)
+		t.fire(triggerNoneInFlight)
+	case stateAsWanted:
+		t.fire(triggerRecheck)
 	}
 	t.wanted, t.revision = Wanted(s, e), s.Revision
 	if t.state() == stateChecking {
@@ -115,7 +116,7 @@
 	}
 }
 
-// check reads the report.
+// check reads the endpoint's report and compares it with the wanted placement.
 func (c *Controller) check(ctx context.Context, t *task, e *config.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -123,11 +124,11 @@
 	now := time.Now()
 	switch {
 	case err != nil:
-		t.failed("no report: "+err.Error(), now)
+		t.recordFailure("no report: "+err.Error(), now)
 	case report.Equal(t.wanted):
 		t.fire(triggerMatches)
 		t.problem, t.failures = "", 0
-		t.due = now.Add(c.settings.Recheck)
+		t.due = now.Add(c.settings.RecheckInterval)
 	default:
 		t.fire(triggerDiffers)
 		c.metrics.differences.Inc()
@@ -136,10 +137,10 @@
 
 // order records the placement and sends the order.
 func (c *Controller) order(ctx context.Context, t *task, s *config.Snapshot, e *config.Endpoint) {
-	fence, err := c.record(ctx, t, s, e)
+	fence, err := c.ensureRecord(ctx, t, s, e)
 	if err != nil {
 		t.fire(triggerAnswered) // nothing was sent
-		t.failed("not recorded: "+err.Error(), time.Now())
+		t.recordFailure("not recorded: "+err.Error(), time.Now())
 		return
 	}
 	until, held := c.holder.Held()
@@ -160,29 +161,29 @@
 		t.due = time.Now()
 	case errors.Is(err, ErrFenced):
 		t.fire(triggerAnswered)
-		t.failed("fenced off", time.Now())
+		t.recordFailure("fenced off", time.Now())
 	default:
 		t.fire(triggerUnanswered)
-		t.failed("no answer to the order: "+err.Error(), time.Now())
+		t.recordFailure("no answer to the order: "+err.Error(), time.Now())
 		if !e.Fenced {
-			t.due = time.Now().Add(c.settings.Flight)
+			t.due = time.Now().Add(c.settings.MaxOrderDelay)
 		}
 	}
 }
 
-// record brings the endpoint's record to what is wanted and returns the fencing
-// number. The record is read each time: a holder that remembered its own would
-// go on ordering by it after another VM had recorded something newer, and an
-// endpoint that ignores fencing numbers would obey both in turn.
-func (c *Controller) record(ctx context.Context, t *task, s *config.Snapshot, e *config.Endpoint) (int64, error) {
+// ensureRecord writes the wanted placement to the endpoint's record if necessary and
+// returns the fencing number. It reads the record each time. With a cached record a
+// holder would go on sending orders after another VM had recorded a newer placement,
+// and an endpoint that ignores fencing numbers would obey both in turn.
+func (c *Controller) ensureRecord(ctx context.Context, t *task, s *config.Snapshot, e *config.Endpoint) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
-	now, err := read(ctx, c.store, e.Name)
+	current, err := readRecord(ctx, c.store, e.Name)
 	if err != nil {
 		return 0, err
 	}
-	now, err = put(ctx, c.store, e.Name, now, t.wanted, s.Revision)
-	return now.version, err
+	current, err = writeRecord(ctx, c.store, e.Name, current, t.wanted, s.Revision)
+	return current.version, err
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/control/rollouts/controller.go
+++ b/control/rollouts/controller.go
@@ -18,22 +18,24 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// Interval is the time between rounds. One second: at 31 requests a second of a
-// new version at 5% of a model's traffic at the letter's size, a bad version's
-// 200 requests are six rounds.
+// Interval is the time between rounds. At the specified size, a new version with 5% of
+// a model's traffic gets 31 requests per second, so that the 200 requests allowed to a
+// bad version take six rounds.
 const Interval = time.Second
 
-// Holder says whether this VM should run the loop; see lease.Lease.
+// Holder reports whether this VM should run the loop, and until when; lease.Lease
+// implements it.
 type Holder interface {
 	Held() (until time.Time, ok bool)
 }
 
-// Counter returns what the VMs have counted, by source, and whether all of them are in.
-type Counter interface {
+// CountsSource returns the VMs' request counts by source, and whether those of all VMs
+// are included.
+type CountsSource interface {
 	Counts(ctx context.Context) (counts []rollout.Counts, complete bool)
 }
 
-// Status is one roll-out's part of the state dump.
+// Status holds one roll-out's part of the state dump.
 type Status struct {
 	RollOut  string          `json:"rollOut"`
 	Epoch    int64           `json:"epoch"`
@@ -41,28 +43,30 @@
 	From     rollout.Tally   `json:"from"`
 	To       rollout.Tally   `json:"to"`
 	Complete bool            `json:"complete"`
-	// Written tells what came of the last action: "in force", "lost a race", …
+	// Written is the result of the write of the last action, such as "in force" or
+	// "lost a race".
 	Written string `json:"written,omitempty"`
-	// Braked says that the other VMs were told to keep new work from the new version.
+	// Braked is true if the other VMs were asked to send no new work to the new version.
 	Braked bool `json:"braked,omitempty"`
 }
 
-// Controller runs the loop. Safe for concurrent use.
+// Controller evaluates the roll-outs under way and acts on the verdicts. It is safe for
+// concurrent use.
 type Controller struct {
-	holder        Holder
-	configuration control.Configuration
-	counter       Counter
-	settings      rollout.Settings
-	metrics       metrics
-	log           zerolog.Logger
-	brakes        *rollout.Brakes
-	tell          func(rollOut string, epoch int64)
-
-	tick     sync.Mutex
+	holder         Holder
+	configuration  control.Configuration
+	counter        CountsSource
+	settings       rollout.Settings
+	metrics        metrics
+	log            zerolog.Logger
+	brakes         *rollout.Brakes
+	broadcastBrake func(rollOut string, epoch int64)
+
+	roundMu  sync.Mutex
 	monitors map[string]*rollout.Monitor
 
-	mu     sync.Mutex
-	status map[string]Status
+	mu       sync.Mutex
+	statuses map[string]Status
 }
 
 type metrics struct {
@@ -71,19 +75,19 @@
 }
 
 // New returns a Controller.
-func New(h Holder, c control.Configuration, n Counter, s rollout.Settings, reg prometheus.Registerer, log zerolog.Logger) *Controller {
+func New(h Holder, c control.Configuration, n CountsSource, s rollout.Settings, reg prometheus.Registerer, log zerolog.Logger) *Controller {
 	ctl := &Controller{
 		holder: h, configuration: c, counter: n, settings: s, log: log,
 		monitors: make(map[string]*rollout.Monitor),
-		status:   make(map[string]Status),
+		statuses: make(map[string]Status),
 		metrics: metrics{
 			// goldcrest_roll_out_rounds_total counts rounds in which this VM held the lease.
 			rounds: prometheus.NewCounter(prometheus.CounterOpts{
 				Name: "goldcrest_roll_out_rounds_total", Help: "Rounds of the roll-out loop with the lease held.",
 			}),
-			// goldcrest_roll_out_actions_total counts actions by what came of the write.
+			// goldcrest_roll_out_actions_total counts actions by the result of the write.
 			actions: prometheus.NewCounterVec(prometheus.CounterOpts{
-				Name: "goldcrest_roll_out_actions_total", Help: "Actions on roll-outs, by action and what came of the write.",
+				Name: "goldcrest_roll_out_actions_total", Help: "Actions on roll-outs, by action and result of the write.",
 			}, []string{"action", "written"}),
 		},
 	}
@@ -91,47 +95,48 @@
 	return ctl
 }
 
-// UseBrakes sets a brake on a new version that should be rolled back while that
-// can't be written, since the platform's store is down or this VM doesn't hold the
-// lease, and calls tell each round to have the other VMs set it. A VM that has
-// counts then judges them without the lease too: in an outage nobody holds it.
-// The holder rolls back what another VM braked: braked, the version gets too few
-// requests for the holder to find out by itself. Call it before Run.
-func (c *Controller) UseBrakes(b *rollout.Brakes, tell func(rollOut string, epoch int64)) {
-	c.brakes, c.tell = b, tell
+// UseBrakes makes the controller set a brake on a new version that should be rolled
+// back but can't be, since the platform's store is down or this VM doesn't hold the
+// lease. In each such round it calls broadcastBrake, which asks the other VMs to set the
+// brake. A VM that has counts then also evaluates them without the lease, since no VM
+// holds the lease during an outage. The holder rolls back a version that another VM
+// braked, since a braked version gets too few requests for the holder to detect the
+// failure itself. UseBrakes must be called before Run.
+func (c *Controller) UseBrakes(b *rollout.Brakes, broadcastBrake func(rollOut string, epoch int64)) {
+	c.brakes, c.broadcastBrake = b, broadcastBrake
 }
 
-// Run does a round each Interval until ctx ends.
-func (c *Controller) Run(ctx context.Context) { control.Every(ctx, Interval, c.Tick) }
+// Run does a round every Interval until ctx ends.
+func (c *Controller) Run(ctx context.Context) { control.RunEvery(ctx, Interval, c.Tick) }
 
-// Tick does one round, if this VM holds the lease or may brake.
+// Tick does one round if this VM holds the lease, or if it has brakes and counts.
 func (c *Controller) Tick(ctx context.Context) {
-	c.tick.Lock()
-	defer c.tick.Unlock()
+	c.roundMu.Lock()
+	defer c.roundMu.Unlock()
 	_, held := c.holder.Held()
 	if !held && c.brakes == nil {
-		c.keep(nil)
+		c.prune(nil)
 		return
 	}
 	snapshot := c.configuration.Snapshot()
 	counts, complete := c.counter.Counts(ctx)
 	if !held && len(counts) == 0 {
-		c.keep(nil) // not a candidate: it knows nothing to judge by
+		c.prune(nil) // not a candidate: there are no counts to evaluate
 		return
 	}
 	if held {
 		c.metrics.rounds.Inc()
 	}
-	c.keep(snapshot.RollOuts)
+	c.prune(snapshot.RollOuts)
 	for _, name := range slices.Sorted(maps.Keys(snapshot.RollOuts)) {
 		if r := snapshot.RollOuts[name]; rollout.UnderWay(r) {
-			c.judge(ctx, snapshot, r, counts, complete)
+			c.evaluate(ctx, snapshot, r, counts, complete)
 		}
 	}
 }
 
-// judge evaluates one roll-out and acts on the verdict.
-func (c *Controller) judge(ctx context.Context, s *config.Snapshot, r *config.RollOut, counts []rollout.Counts, complete bool) {
+// evaluate decides on one roll-out and acts on the verdict.
+func (c *Controller) evaluate(ctx context.Context, s *config.Snapshot, r *config.RollOut, counts []rollout.Counts, complete bool) {
 	m, ok := c.monitors[r.Name]
 	if !ok {
 		m = rollout.NewMonitor(c.settings)
@@ -143,7 +148,7 @@
 			m.Add(n)
 		}
 	}
-	v := c.verdict(s, r, m, complete)
+	v := c.decide(s, r, m, complete)
 	st := Status{RollOut: r.Name, Epoch: r.Revision, Verdict: v, Complete: complete}
 	st.From, st.To = m.Sum()
 	if v.Action != rollout.Hold {
@@ -151,16 +156,18 @@
 	}
 	if v.Action == rollout.RollBack && c.brakes != nil && st.Written != writtenInForce {
 		c.brakes.Set(r.Name, r.Revision)
-		c.tell(r.Name, r.Revision)
+		c.broadcastBrake(r.Name, r.Revision)
 		st.Braked = true
 	}
 	c.mu.Lock()
-	c.status[r.Name] = st
+	c.statuses[r.Name] = st
 	c.mu.Unlock()
 }
 
-// verdict puts the operators' word before the comparison, whose findings are kept for the dump.
-func (c *Controller) verdict(s *config.Snapshot, r *config.RollOut, m *rollout.Monitor, complete bool) rollout.Verdict {
+// decide returns the verdict on a roll-out. An operator's pause, a withdrawal of the new
+// version and a brake take precedence over the comparison of the versions, whose
+// findings are kept for the dump.
+func (c *Controller) decide(s *config.Snapshot, r *config.RollOut, m *rollout.Monitor, complete bool) rollout.Verdict {
 	v := m.Evaluate(r, time.Now(), complete)
 	if r.State == config.RollOutPaused && !strings.HasPrefix(r.Reason, ReasonPrefix) {
 		return rollout.Verdict{Action: rollout.Hold, Reason: "paused by an operator", Findings: v.Findings}
@@ -174,7 +181,7 @@
 	return v
 }
 
-// What came of a write.
+// The results of a write, as in Status.Written and the metrics.
 const (
 	writtenInForce     = "in force"
 	writtenNotHeld     = "lease not held, not written"
@@ -184,11 +191,12 @@
 	writtenRefused     = "refused"
 )
 
-// write puts the action into the configuration, once.
+// write applies the verdict's action to the roll-out in the configuration, and returns
+// the result.
 //
-// The write is conditional on the revision that was judged. After a lost reply
-// nothing is done but to look again: if the write took effect the roll-out has a
-// new revision, and a repeat on the old one, from a snapshot that lags, loses.
+// The write is conditional on the revision that was evaluated, and it isn't repeated
+// after a lost reply. If it took effect, the roll-out has a new revision, and a later
+// write on the old revision, from a snapshot that lags, conflicts.
 func (c *Controller) write(ctx context.Context, r *config.RollOut, v rollout.Verdict) string {
 	written := writtenNotHeld
 	if until, held := c.holder.Held(); held {
@@ -201,7 +209,7 @@
 	}
 	c.metrics.actions.WithLabelValues(v.Action.String(), written).Inc()
 	if written == writtenNotHeld {
-		return written // each round of an outage comes by here: no change of state
+		return written // not logged, since this happens in each round of an outage
 	}
 	c.log.Info().Str("rollOut", r.Name).Str("action", v.Action.String()).
 		Str("reason", v.Reason).Str("written", written).Msg("roll-out " + v.Action.String())
@@ -222,23 +230,23 @@
 	return writtenRefused
 }
 
-// keep forgets roll-outs that are not in the configuration.
-func (c *Controller) keep(rollOuts map[string]*config.RollOut) {
+// prune drops the monitors and statuses of all roll-outs but those given.
+func (c *Controller) prune(rollOuts map[string]*config.RollOut) {
 	gone := func(name string) bool { _, ok := rollOuts[name]; return !ok }
 	maps.DeleteFunc(c.monitors, func(name string, _ *rollout.Monitor) bool { return gone(name) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.status, func(name string, _ Status) bool { return gone(name) })
+	maps.DeleteFunc(c.statuses, func(name string, _ Status) bool { return gone(name) })
 }
 
-// Dump explains, by name, what was last decided on each roll-out and why. It is
-// empty on a VM that doesn't hold the lease.
+// Dump returns the last verdict on each roll-out and its reason, sorted by name. It is
+// empty on a VM that neither holds the lease nor has counts to brake by.
 func (c *Controller) Dump() []Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Status
-	for _, name := range slices.Sorted(maps.Keys(c.status)) {
-		out = append(out, c.status[name])
+	for _, name := range slices.Sorted(maps.Keys(c.statuses)) {
+		out = append(out, c.statuses[name])
 	}
 	return out
 }
--- a/control/rollouts/controller_test.go
+++ b/control/rollouts/controller_test.go
@@ -21,12 +21,12 @@
 
 var steps = []float64{5, 25, 100}
 
-func newController(h Holder, v *view, n Counter) *Controller {
+func newController(h Holder, v *vmConfiguration, n CountsSource) *Controller {
 	return New(h, v, n, rollout.DefaultSettings(), prometheus.NewRegistry(), zerolog.Nop())
 }
 
-// until ticks the controllers in turn until the roll-out is in the state.
-func until(t *testing.T, f *fakeStore, state config.RollOutState, controllers ...*Controller) {
+// tickUntil ticks the controllers in turn until the roll-out is in the state.
+func tickUntil(t *testing.T, f *fakeStore, state config.RollOutState, controllers ...*Controller) {
 	for range 10000 {
 		if f.current().State == state {
 			return
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(Interval)
 	}
-	require.Fail(t, "never "+string(state), "%+v", f.current())
+	require.Fail(t, "state not reached: "+string(state), "%+v", f.current())
 }
 
 // requireEachStepOnce checks that a good roll-out took each step once, in order.
@@ -47,41 +47,40 @@
 	}
 	require.Equal(t, config.RollOutDone, f.history[len(steps)-1].State)
 	for i := range f.times[1:] {
-		held := f.times[i+1].Sub(f.times[i])
-		require.GreaterOrEqual(t, held, rollout.DefaultSettings().MinTime, "time in step %d", i+1)
+		stepTime := f.times[i+1].Sub(f.times[i])
+		require.GreaterOrEqual(t, stepTime, rollout.DefaultSettings().MinTime, "time in step %d", i+1)
 	}
 }
 
-// Two controllers both believe that they hold the lease and judge the same
-// revision at the same time; one of them is overtaken while it gathers counts or
-// while its write is on its way. Callers must see each share once and for its
-// time: a step taken twice would give a version four times the traffic that was
-// judged safe.
+// Two controllers both believe that they hold the lease and evaluate the same revision;
+// one overtakes the other while that reads counts or writes. Each step must take effect
+// once and last for its minimum time: a step taken twice would give a version four
+// times the traffic that was found safe.
 func TestTwoControllersAtOnce(t *testing.T) {
-	for _, overtaken := range []string{"gathering", "writing"} {
-		t.Run(overtaken, func(t *testing.T) {
+	for _, overtakenWhile := range []string{"gathering", "writing"} {
+		t.Run(overtakenWhile, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFakeStore(steps...)
-				a, b := &view{store: f}, &view{store: f}
-				counts := &traffic{f, neverBad, false, nil}
-				first := newController(always{}, a, counts)
-				second := newController(always{}, b, &traffic{f, neverBad, false, nil})
-				if overtaken == "gathering" {
-					counts.before = func() { second.Tick(t.Context()) }
+				a, b := &vmConfiguration{store: f}, &vmConfiguration{store: f}
+				counts := &trafficCounter{f, neverBad, false, nil}
+				first := newController(alwaysHeld{}, a, counts)
+				second := newController(alwaysHeld{}, b, &trafficCounter{f, neverBad, false, nil})
+				if overtakenWhile == "gathering" {
+					counts.beforeCounts = func() { second.Tick(t.Context()) }
 				} else {
-					a.before = func() { second.Tick(t.Context()) }
+					a.beforeWrite = func() { second.Tick(t.Context()) }
 				}
-				until(t, f, config.RollOutDone, first, second)
+				tickUntil(t, f, config.RollOutDone, first, second)
 				requireEachStepOnce(t, f)
-				require.Greater(t, a.writes+b.writes, len(steps), "they did race")
+				require.Greater(t, a.writes+b.writes, len(steps), "the controllers' writes raced")
 			})
 		})
 	}
 }
 
-// The holder is paused between its check of the lease and its write. Another VM
-// takes the lease and the step. When the first wakes, its write must have no
-// effect, and its next round must find that the lease is gone.
+// The holder is paused between its check of the lease and its write, while another VM
+// takes over the lease and takes the step. When the first VM resumes, its write must
+// have no effect, and its next round must detect that it lost the lease.
 func TestHolderPausedBeforeItsWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFakeStore(steps...), store.New()
@@ -89,9 +88,9 @@
 			return lease.New(s, "roll-outs", name, lease.DefaultSettings(), prometheus.NewRegistry(), zerolog.Nop())
 		}
 		la, lb := holder("a"), holder("b")
-		a, b := &view{store: f}, &view{store: f}
-		first, second := newController(la, a, &traffic{f, neverBad, false, nil}), newController(lb, b, &traffic{f, neverBad, false, nil})
-		a.before = func() { // the pause
+		a, b := &vmConfiguration{store: f}, &vmConfiguration{store: f}
+		first, second := newController(la, a, &trafficCounter{f, neverBad, false, nil}), newController(lb, b, &trafficCounter{f, neverBad, false, nil})
+		a.beforeWrite = func() { // the pause
 			for f.current().Step == 0 {
 				lb.Tick(t.Context())
 				second.Tick(t.Context())
@@ -114,18 +113,18 @@
 	})
 }
 
-// The reply to a step is lost and the VM's configuration lags behind it. The
-// controller judges the old revision again; the step must be taken once.
+// The reply to a step is lost and the VM's snapshot lags, so that the controller
+// evaluates the old revision again. The step must take effect only once.
 func TestLostReplyOfAStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(steps...)
-		v := &view{store: f}
-		c := newController(always{}, v, &traffic{f, neverBad, false, nil})
-		v.before = func() {
-			if v.stale == nil {
+		v := &vmConfiguration{store: f}
+		c := newController(alwaysHeld{}, v, &trafficCounter{f, neverBad, false, nil})
+		v.beforeWrite = func() {
+			if v.staleRollOut == nil {
 				old := f.current()
-				v.stale = &old
-				f.lose = 1
+				v.staleRollOut = &old
+				f.loseReplies = 1
 			}
 		}
 		for v.writes < 3 {
@@ -133,16 +132,16 @@
 			time.Sleep(Interval)
 		}
 		require.Len(t, f.history, 1, "three writes, one step")
-		v.stale, v.before = nil, nil
-		until(t, f, config.RollOutDone, c)
+		v.staleRollOut, v.beforeWrite = nil, nil
+		tickUntil(t, f, config.RollOutDone, c)
 		requireEachStepOnce(t, f)
 	})
 }
 
-// The platform's store goes down for ten minutes, nobody holds the lease, and the
-// version turns bad meanwhile. Nothing can be written then. With brakes callers
-// without a session are spared it within its 200 requests; either way it is rolled
-// back within the time of taking the lease anew once the store is back.
+// The new version turns bad during a store outage of ten minutes, in which no VM can
+// hold the lease or write. With brakes, new sessions must avoid the version after at
+// most 200 requests. With or without them, it must be rolled back as soon as the lease
+// can be taken again.
 func TestStoreOutage(t *testing.T) {
 	for _, braking := range []bool{true, false} {
 		t.Run(fmt.Sprint("brakes=", braking), func(t *testing.T) {
@@ -155,7 +154,7 @@
 	f, s := newFakeStore(steps...), store.New()
 	l := lease.New(s, "roll-outs", "a", lease.DefaultSettings(), prometheus.NewRegistry(), zerolog.Nop())
 	const turnsBad = time.Minute
-	c := newController(l, &view{store: f}, &traffic{f, turnsBad, false, nil})
+	c := newController(l, &vmConfiguration{store: f}, &trafficCounter{f, turnsBad, false, nil})
 	var brakes rollout.Brakes
 	if braking {
 		c.UseBrakes(&brakes, brakes.Set)
@@ -185,7 +184,7 @@
 		require.True(t, ok)
 		require.Equal(t, "v1", choice.Version)
 	} else {
-		require.Empty(t, c.Dump(), "the lease has lapsed")
+		require.Empty(t, c.Dump(), "the lease has expired")
 	}
 	s.SetFaults(store.Faults{})
 	f.down = false
@@ -193,13 +192,13 @@
 	require.Equal(t, config.RollOutRolledBack, f.current().State)
 }
 
-// Another VM finds the version bad a round before the holder does and has it
-// braked. Without requests the holder would never find out; it must follow, or the
-// roll-out would neither go on nor back.
-func TestHolderFollowsABrake(t *testing.T) {
+// Another VM brakes a bad version one round before the holder detects the failure.
+// Without further requests the holder can't detect it, so it must roll the braked
+// version back; otherwise the roll-out would neither advance nor end.
+func TestHolderRollsBackBrakedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(steps...)
-		c := newController(always{}, &view{store: f}, &traffic{f, neverBad, false, nil})
+		c := newController(alwaysHeld{}, &vmConfiguration{store: f}, &trafficCounter{f, neverBad, false, nil})
 		var brakes rollout.Brakes
 		c.UseBrakes(&brakes, brakes.Set)
 		brakes.Set("r", f.current().Revision)
@@ -208,30 +207,30 @@
 	})
 }
 
-// A roll-out stops halfway because its controller's VM is gone. Another VM takes
-// it up from the object alone, and the steps go on where they stood.
-func TestTakenUpHalfway(t *testing.T) {
+// The VM of the controller fails in the middle of a roll-out. Another VM must continue
+// from the current step with the roll-out object alone.
+func TestTakeoverMidRollOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(steps...)
-		first := newController(always{}, &view{store: f}, &traffic{f, neverBad, false, nil})
+		first := newController(alwaysHeld{}, &vmConfiguration{store: f}, &trafficCounter{f, neverBad, false, nil})
 		for f.current().Step == 0 {
 			first.Tick(t.Context())
 			time.Sleep(Interval)
 		}
-		second := newController(always{}, &view{store: f}, &traffic{f, neverBad, false, nil})
-		until(t, f, config.RollOutDone, second)
+		second := newController(alwaysHeld{}, &vmConfiguration{store: f}, &trafficCounter{f, neverBad, false, nil})
+		tickUntil(t, f, config.RollOutDone, second)
 		requireEachStepOnce(t, f)
 	})
 }
 
-// An operator pauses the roll-out while the controller's next step is on its
-// way. The pause stays: neither that step nor a later one undoes it, also not
-// when the version turns out bad, until the operator resumes.
-func TestOperatorWins(t *testing.T) {
+// An operator pauses the roll-out while the controller writes its next step. Neither
+// that step nor a later one may undo the pause, even if the version turns bad, until
+// the operator resumes the roll-out.
+func TestOperatorPauseIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(steps...)
-		v := &view{store: f}
-		c := newController(always{}, v, &traffic{f, 6 * time.Minute, false, nil})
+		v := &vmConfiguration{store: f}
+		c := newController(alwaysHeld{}, v, &trafficCounter{f, 6 * time.Minute, false, nil})
 		operator := func(state config.RollOutState) {
 			_, err := f.change(func(obj config.Object) error {
 				r := obj.(*config.RollOut)
@@ -240,8 +239,8 @@
 			}, f.current().Revision)
 			require.NoError(t, err)
 		}
-		v.before = func() { operator(config.RollOutPaused) }
-		until(t, f, config.RollOutPaused, c)
+		v.beforeWrite = func() { operator(config.RollOutPaused) }
+		tickUntil(t, f, config.RollOutPaused, c)
 		require.Equal(t, writtenConflict, c.Dump()[0].Written)
 		for range 1200 {
 			c.Tick(t.Context())
@@ -249,14 +248,15 @@
 		}
 		require.Equal(t, 0, f.current().Step)
 		require.Equal(t, "paused by an operator", c.Dump()[0].Verdict.Reason)
-		require.True(t, c.Dump()[0].Verdict.Findings[0].Worse, "the dump tells the operator")
-		v.before = nil
+		require.True(t, c.Dump()[0].Verdict.Findings[0].Worse, "the dump shows the finding to the operator")
+		v.beforeWrite = nil
 		operator(config.RollOutRunning)
-		until(t, f, config.RollOutDone, c)
+		tickUntil(t, f, config.RollOutDone, c)
 	})
 }
 
-// What becomes of a roll-out by itself, and when.
+// The controller must write its verdict on a good or bad roll-out to the configuration,
+// a roll-back before the given number of requests.
 func TestVerdictsAreWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		badAfter time.Duration
@@ -265,12 +265,12 @@
 		want     config.RollOutState
 		requests float64
 	}{
-		"bad from the start":              {0, false, false, config.RollOutRolledBack, 200},
-		"bad while counts are missing":    {0, true, false, config.RollOutRolledBack, 200},
-		"bad after four minutes":          {4 * time.Minute, false, false, config.RollOutRolledBack, 1400},
-		"good, but counts stay missing":   {neverBad, true, false, config.RollOutRunning, 0},
-		"its new version is taken away":   {neverBad, false, true, config.RollOutRolledBack, 20},
-		"good, and all counts are coming": {neverBad, false, false, config.RollOutDone, 0},
+		"bad from the start":            {0, false, false, config.RollOutRolledBack, 200},
+		"bad while counts are missing":  {0, true, false, config.RollOutRolledBack, 200},
+		"bad after four minutes":        {4 * time.Minute, false, false, config.RollOutRolledBack, 1400},
+		"good, but counts stay missing": {neverBad, true, false, config.RollOutRunning, 0},
+		"its new version is withdrawn":  {neverBad, false, true, config.RollOutRolledBack, 20},
+		"good, and counts are complete": {neverBad, false, false, config.RollOutDone, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -279,7 +279,7 @@
 					f.rollOut.To = "v3"
 				}
 				began := time.Now()
-				ctl := newController(always{}, &view{store: f}, &traffic{f, c.badAfter, c.missing, nil})
+				ctl := newController(alwaysHeld{}, &vmConfiguration{store: f}, &trafficCounter{f, c.badAfter, c.missing, nil})
 				if c.want == config.RollOutRunning {
 					for range 3600 {
 						ctl.Tick(t.Context())
@@ -289,7 +289,7 @@
 					require.Equal(t, "counts of some VMs are missing", ctl.Dump()[0].Verdict.Reason)
 					return
 				}
-				until(t, f, c.want, ctl)
+				tickUntil(t, f, c.want, ctl)
 				if c.requests > 0 {
 					exposed := 5 * time.Since(began).Seconds() // 5% of 100 a second
 					require.LessOrEqual(t, exposed, c.requests)
--- a/control/rollouts/fake_test.go
+++ b/control/rollouts/fake_test.go
@@ -11,30 +11,30 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// fakeStore is the committed configuration, with one roll-out.
+// fakeStore holds the committed configuration with one roll-out.
 type fakeStore struct {
-	mu      sync.Mutex
-	rollOut config.RollOut
-	since   time.Time
-	down    bool
-	lose    int
-	// history holds every committed change of the roll-out, times when it was made.
+	mu          sync.Mutex
+	rollOut     config.RollOut
+	changedAt   time.Time
+	down        bool
+	loseReplies int
+	// history holds every committed state of the roll-out, times the time of each.
 	history []config.RollOut
 	times   []time.Time
 }
 
-// view is one VM's configuration.
-type view struct {
+// vmConfiguration implements control.Configuration for one VM.
+type vmConfiguration struct {
 	store *fakeStore
-	// stale, when set, is what the VM still believes.
-	stale *config.RollOut
-	// before is called when a write is on its way.
-	before func()
-	writes int
+	// staleRollOut, if set, is the outdated roll-out in the VM's snapshot.
+	staleRollOut *config.RollOut
+	// beforeWrite is called before each write takes effect.
+	beforeWrite func()
+	writes      int
 }
 
 func newFakeStore(steps ...float64) *fakeStore {
-	return &fakeStore{since: time.Now(), rollOut: config.RollOut{
+	return &fakeStore{changedAt: time.Now(), rollOut: config.RollOut{
 		Meta: config.Meta{Name: "r", Revision: 1}, Model: "m", From: "v1", To: "v2",
 		Steps: steps, State: config.RollOutRunning,
 	}}
@@ -46,7 +46,7 @@
 	return f.rollOut
 }
 
-// change commits what an operator or a controller wants.
+// change commits a change by an operator or a controller.
 func (f *fakeStore) change(mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,19 +61,19 @@
 		return 0, err
 	}
 	next.Revision++
-	f.rollOut, f.since = next, time.Now()
-	f.history, f.times = append(f.history, next), append(f.times, f.since)
-	if f.lose > 0 {
-		f.lose--
+	f.rollOut, f.changedAt = next, time.Now()
+	f.history, f.times = append(f.history, next), append(f.times, f.changedAt)
+	if f.loseReplies > 0 {
+		f.loseReplies--
 		return 0, durable.ErrUnknown
 	}
 	return next.Revision, nil
 }
 
-func (v *view) Snapshot() *config.Snapshot {
+func (v *vmConfiguration) Snapshot() *config.Snapshot {
 	r := v.store.current()
-	if v.stale != nil {
-		r = *v.stale
+	if v.staleRollOut != nil {
+		r = *v.staleRollOut
 	}
 	version := func(name string) *config.ModelVersion {
 		return &config.ModelVersion{Meta: config.Meta{Name: name}, Model: "m", State: config.VersionServing}
@@ -85,34 +85,37 @@
 	}
 }
 
-func (v *view) Update(_ context.Context, _ config.Kind, _ string, mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
+func (v *vmConfiguration) Update(_ context.Context, _ config.Kind, _ string, mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
 	v.writes++
-	if v.before != nil {
-		v.before()
+	if v.beforeWrite != nil {
+		v.beforeWrite()
 	}
 	return v.store.change(mutate, ifRevision)
 }
 
-// traffic counts what 100 requests a second come to, by the share in force.
-type traffic struct {
+// trafficCounter implements CountsSource with the counts of 100 requests per second, split
+// by the share in force.
+type trafficCounter struct {
 	store *fakeStore
-	// badAfter is when, from the epoch's start, the new version fails one request in four.
+	// badAfter is the time from the start of the epoch after which the new version fails
+	// one request in four.
 	badAfter time.Duration
 	missing  bool
-	// before is called when the counts are gathered, after the snapshot was read.
-	before func()
+	// beforeCounts is called when the controller reads the counts, after it has read the
+	// snapshot.
+	beforeCounts func()
 }
 
 const neverBad = time.Duration(1<<63 - 1)
 
-func (t *traffic) Counts(context.Context) ([]rollout.Counts, bool) {
-	if t.before != nil {
-		t.before()
+func (t *trafficCounter) Counts(context.Context) ([]rollout.Counts, bool) {
+	if t.beforeCounts != nil {
+		t.beforeCounts()
 	}
 	t.store.mu.Lock()
 	defer t.store.mu.Unlock()
 	r := t.store.rollOut
-	elapsed := time.Since(t.store.since)
+	elapsed := time.Since(t.store.changedAt)
 	requests := 100 * elapsed.Seconds()
 	bad := max(0, 100*(elapsed-t.badAfter).Seconds())
 	if t.badAfter == neverBad {
@@ -128,7 +131,8 @@
 	}}, !t.missing
 }
 
-// always holds the lease, as a paused holder believes and a broken lease allows.
-type always struct{}
+// alwaysHeld is a Holder that always reports the lease as held, as a holder that was
+// paused or a broken lease may do.
+type alwaysHeld struct{}
 
-func (always) Held() (time.Time, bool) { return time.Now().Add(time.Hour), true }
+func (alwaysHeld) Held() (time.Time, bool) { return time.Now().Add(time.Hour), true }
--- a/control/rollouts/machine.go
+++ b/control/rollouts/machine.go
@@ -8,8 +8,9 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// newMachine holds which action may follow which state. Done and rolled back are
-// final for the controller: only an operator starts such a roll-out again.
+// newMachine returns a state machine with the actions that the controller may take in
+// each state. Done and rolled back are final for the controller; only an operator can
+// restart such a roll-out.
 func newMachine(state config.RollOutState) *stateless.StateMachine {
 	m := stateless.NewStateMachine(state)
 	m.Configure(config.RollOutRunning).
@@ -24,11 +25,11 @@
 	return m
 }
 
-// ReasonPrefix marks the reasons this package writes; by it a pause of the
-// controller's is told from an operator's.
+// ReasonPrefix starts each reason that this package writes. It distinguishes a pause by
+// the controller from a pause by an operator.
 const ReasonPrefix = "controller: "
 
-// apply changes r as the verdict says.
+// apply changes r according to the verdict.
 func apply(r *config.RollOut, v rollout.Verdict) error {
 	m := newMachine(r.State)
 	if err := m.Fire(v.Action); err != nil {
