--- a/durable/doc.go
+++ b/durable/doc.go
@@ -1,6 +1,6 @@
-// Package durable is the project's view of the platform's object API: versioned
-// objects, conditional writes, watches and the lagging list of VMs. Everything
-// that must outlive a VM is kept through this interface and nowhere else.
+// Package durable defines the interface to the platform's object API: versioned
+// objects, conditional writes, watches and the list of VMs, which lags. All state that
+// must outlive a VM is stored through this interface only.
 //
-// Lock order: the package holds no lock across a call into another package.
+// Lock order: the package holds no lock during a call into another package.
 package durable
--- a/durable/httpstore/client.go
+++ b/durable/httpstore/client.go
@@ -16,12 +16,13 @@
 	"goldcrestfork/durable"
 )
 
-// idleConnections kept to the platform. Grounds: a VM's shards, watches and
-// loops call at the same time; fewer would redial in a burst.
+// idleConnections is the number of idle connections kept to the platform. A VM's
+// shards, watches and loops call concurrently; with fewer connections a burst of calls
+// would have to dial anew.
 const idleConnections = 32
 
-// maxReply bounds a listing in bytes, so that a broken server can't fill the VM's memory.
-const maxReply = 128 << 20
+// maxReplyBytes bounds a reply, so that a broken server can't fill the VM's memory.
+const maxReplyBytes = 128 << 20
 
 // Client implements durable.Store over HTTP.
 type Client struct {
@@ -33,21 +34,22 @@
 
 var _ durable.Store = (*Client)(nil)
 
-// Option changes a Client at its making.
+// Option configures a Client in New.
 type Option func(*Client)
 
 // WithToken sends a bearer token with every call.
 func WithToken(token string) Option { return func(c *Client) { c.token = token } }
 
-// WithTimeout bounds each call but a watch; the default is durable.CallTimeout.
+// WithTimeout bounds each call, and the start of each watch. The default is
+// durable.CallTimeout.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithTransport sets the transport, for TLS settings or tests.
+// WithTransport sets the HTTP transport, for TLS settings or tests.
 func WithTransport(t http.RoundTripper) Option {
 	return func(c *Client) { c.http.Transport = t }
 }
 
-// New returns a client of the platform at base, such as "http://192.0.2.1:7000".
+// New returns a client of the platform at the base URL, such as "http://192.0.2.1:7000".
 func New(base string, options ...Option) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -63,7 +65,7 @@
 	return c
 }
 
-// CloseIdle closes connections that no call uses.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
 // Get implements durable.Store.
@@ -74,17 +76,17 @@
 	}
 	switch status {
 	case http.StatusOK:
-		return object(key, header, body)
+		return parseObject(key, header, body)
 	case http.StatusNotFound:
 		return durable.Object{}, durable.ErrNotFound
 	}
-	return durable.Object{}, refused(status)
+	return durable.Object{}, readError(status)
 }
 
 // List implements durable.Store.
 func (c *Client) List(ctx context.Context, kind string) (durable.Listing, error) {
 	var l Listing
-	if err := c.read(ctx, Path(kind, ""), &l); err != nil {
+	if err := c.readJSON(ctx, Path(kind, ""), &l); err != nil {
 		return durable.Listing{}, err
 	}
 	out := durable.Listing{Revision: l.Revision}
@@ -98,7 +100,7 @@
 // VMs implements durable.Store.
 func (c *Client) VMs(ctx context.Context) ([]durable.VM, error) {
 	var rows []VM
-	if err := c.read(ctx, "/vms", &rows); err != nil {
+	if err := c.readJSON(ctx, "/vms", &rows); err != nil {
 		return nil, err
 	}
 	var out []durable.VM
@@ -141,20 +143,21 @@
 	if err != nil {
 		return durable.Object{}, unknown(err)
 	}
-	return writeResult(key, status, header, body)
+	return parseWriteReply(key, status, header, body)
 }
 
-// writeResult turns a whole reply to a write into the interface's outcome.
-func writeResult(key durable.Key, status int, header http.Header, body []byte) (durable.Object, error) {
+// parseWriteReply converts a complete reply to a write into the result that
+// durable.Store documents.
+func parseWriteReply(key durable.Key, status int, header http.Header, body []byte) (durable.Object, error) {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
-		o, err := object(key, header, nil)
+		o, err := parseObject(key, header, nil)
 		if err != nil {
 			return durable.Object{}, unknown(err)
 		}
 		return o, nil
 	case http.StatusPreconditionFailed:
-		current, err := object(key, header, body)
+		current, err := parseObject(key, header, body)
 		if err != nil {
 			return durable.Object{}, unknown(err)
 		}
@@ -174,14 +177,14 @@
 	return durable.Object{}, unavailable(statusError(status))
 }
 
-// read gets a JSON document.
-func (c *Client) read(ctx context.Context, path string, into any) error {
+// readJSON decodes the JSON document at path.
+func (c *Client) readJSON(ctx context.Context, path string, into any) error {
 	status, _, body, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return unavailable(err)
 	}
 	if status != http.StatusOK {
-		return refused(status)
+		return readError(status)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
 		return unavailable(err)
@@ -189,21 +192,21 @@
 	return nil
 }
 
-// errNotSent marks a call for which no connection was had: no byte of it left.
+// errNotSent marks a call that got no connection, so that none of its bytes were sent.
 var errNotSent = errors.New("not sent")
 
-// call makes one request and reads its whole reply.
+// call makes one request and reads the complete reply.
 func (c *Client) call(ctx context.Context, method, path string, header http.Header, body []byte) (int, http.Header, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// The connection's arrival, not the error's text, tells whether bytes may
-	// have left: a refused dial, a failed look-up or handshake and a time-out
-	// while dialling all end before it.
+	// Bytes may have been sent only once there was a connection. A refused dial, a failed
+	// look-up or handshake and a timeout while dialling all end before that, and the
+	// error's text would not tell them apart reliably.
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := c.request(ctx, method, path, header, body)
+	req, err := c.newRequest(ctx, method, path, header, body)
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("%w: %w", errNotSent, err)
 	}
@@ -215,11 +218,11 @@
 		return 0, nil, nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	reply, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	return resp.StatusCode, resp.Header, reply, err
 }
 
-func (c *Client) request(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -233,7 +236,7 @@
 	return req, nil
 }
 
-func object(key durable.Key, header http.Header, body []byte) (durable.Object, error) {
+func parseObject(key durable.Key, header http.Header, body []byte) (durable.Object, error) {
 	version, err := ParseTag(header.Get("ETag"))
 	if err != nil {
 		return durable.Object{}, unavailable(err)
@@ -243,11 +246,12 @@
 
 func unavailable(err error) error { return fmt.Errorf("%w: %w", durable.ErrUnavailable, err) }
 
-// unknown flattens its cause, which may itself say "unavailable".
+// unknown wraps durable.ErrUnknown only. The cause appears as text, since it may itself
+// wrap durable.ErrUnavailable.
 func unknown(err error) error { return fmt.Errorf("%w: %v", durable.ErrUnknown, err) }
 
-// refused gives the error of a read that brought no object.
-func refused(status int) error {
+// readError returns the error of a read that failed with the given status.
+func readError(status int) error {
 	if status == http.StatusTooManyRequests {
 		return durable.ErrOverRate
 	}
--- a/durable/httpstore/doc.go
+++ b/durable/httpstore/doc.go
@@ -1,13 +1,13 @@
-// Package httpstore is the platform's object API over HTTP: a client that
-// implements durable.Store and the messages that it and a server exchange.
+// Package httpstore implements the platform's object API over HTTP: a client that
+// implements durable.Store, and the messages that a client and a server exchange.
 //
-// Objects live at /objects/{kind}/{name}; the version is the entity tag, so a
-// conditional write is a PUT or DELETE with If-Match, and a creation is a PUT
-// with If-None-Match: *. /objects/{kind} lists, the same with ?watch=REVISION
-// is a stream of JSON lines. /vms is the list of VMs.
+// An object has the path /objects/{kind}/{name} and its version as the entity tag. A
+// conditional write is a PUT or DELETE with If-Match, and a creation is a PUT with
+// If-None-Match: *. GET /objects/{kind} returns a listing; with ?watch=REVISION it
+// returns a stream of JSON lines. GET /vms returns the list of VMs.
 //
-// The one decision here is which failures had no effect. A write that got no
-// connection sent no byte, and 429 and 503 are the platform's own word that it
-// did not take the call; both are ErrUnavailable. Every other write without a
-// whole reply is ErrUnknown.
+// The client decides which failed writes had no effect. A write that got no connection
+// sent no byte, and the status 429 or 503 states that the platform did not accept the
+// call; both give ErrUnavailable (ErrOverRate wraps it). A write with another server
+// error or without a complete reply gives ErrUnknown.
 package httpstore
--- a/durable/httpstore/watch.go
+++ b/durable/httpstore/watch.go
@@ -13,13 +13,14 @@
 	"goldcrestfork/durable"
 )
 
-// KeepAlive is how often a server writes at least an empty line into a watch.
+// KeepAlive is the longest time between two lines that a server writes to a watch; the
+// server writes an empty line if there is no event.
 const KeepAlive = 5 * time.Second
 
-// Silence is how long a watch may bring no line before it counts as broken.
-// Grounds: two lost keep-alives; without it a watch over a connection that a
-// switch forgot would wait for ever, and the VM would miss a withdrawal.
-const Silence = 3 * KeepAlive
+// WatchTimeout is the time without a line after which a watch counts as broken; it allows
+// for two lost keep-alives. Without it, a watch on a connection that a switch dropped
+// silently would wait forever, and the VM would miss a withdrawal.
+const WatchTimeout = 3 * KeepAlive
 
 type watch struct {
 	kind   string
@@ -28,17 +29,17 @@
 	once   sync.Once
 	closed chan struct{}
 	ended  chan struct{}
-	err    error // set before ended closes
+	err    error // set before ended is closed
 }
 
-// Watch implements durable.Store. The context bounds the start only.
+// Watch implements durable.Store. The context bounds only the start of the watch.
 func (c *Client) Watch(ctx context.Context, kind string, revision int64) (durable.Watch, error) {
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	start, stopTimer := context.WithTimeout(ctx, c.timeout)
+	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	startCtx, stopTimer := context.WithTimeout(ctx, c.timeout)
 	defer stopTimer()
-	keep := context.AfterFunc(start, cancel)
+	stopTimeout := context.AfterFunc(startCtx, cancel)
 	path := Path(kind, "") + "?watch=" + strconv.FormatInt(revision, 10)
-	req, err := c.request(life, http.MethodGet, path, nil, nil)
+	req, err := c.newRequest(streamCtx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		cancel()
 		return nil, unavailable(err)
@@ -48,10 +49,10 @@
 		cancel()
 		return nil, unavailable(err)
 	}
-	if !keep() {
+	if !stopTimeout() {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, unavailable(start.Err())
+		return nil, unavailable(startCtx.Err())
 	}
 	if resp.StatusCode != http.StatusOK {
 		cancel()
@@ -68,16 +69,16 @@
 		closed: make(chan struct{}),
 		ended:  make(chan struct{}),
 	}
-	go w.run(life, resp)
+	go w.run(streamCtx, resp)
 	return w, nil
 }
 
-// run reads lines until the stream breaks or the watch is closed.
+// run reads and delivers lines until the stream breaks or the watch is closed.
 func (w *watch) run(ctx context.Context, resp *http.Response) {
 	defer close(w.ended)
 	defer func() { _ = resp.Body.Close() }()
 	w.err = durable.ErrUnavailable
-	watchdog := time.AfterFunc(Silence, w.cancel)
+	watchdog := time.AfterFunc(WatchTimeout, w.cancel)
 	defer watchdog.Stop()
 	lines := bufio.NewReader(resp.Body)
 	for {
@@ -85,16 +86,17 @@
 		if err != nil {
 			return
 		}
-		// Stopped while the event waits for its reader: a slow reader isn't a silent stream.
+		// The watchdog stops while the event waits for the caller of Next, since a slow
+		// caller doesn't mean a silent stream.
 		watchdog.Stop()
 		if !w.deliver(ctx, raw) {
 			return
 		}
-		watchdog.Reset(Silence)
+		watchdog.Reset(WatchTimeout)
 	}
 }
 
-// deliver hands one line on; false ends the watch.
+// deliver passes the event of one line to Next, and returns false if the watch must end.
 func (w *watch) deliver(ctx context.Context, raw []byte) bool {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 {
--- a/durable/httpstore/wire.go
+++ b/durable/httpstore/wire.go
@@ -8,28 +8,28 @@
 	"goldcrestfork/durable"
 )
 
-// Object is one object of a listing.
+// Object is one object of a listing or of a watch's line.
 type Object struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// Listing is the answer to GET /objects/{kind}.
+// Listing is the body of the reply to GET /objects/{kind}.
 type Listing struct {
 	Revision int64    `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// Line is one line of a watch. An empty line in between keeps the stream alive.
+// Line is one line of a watch. An empty line keeps the stream alive.
 type Line struct {
 	Object
 	Deleted bool `json:"deleted,omitempty"`
-	// Gone ends the stream: the events asked for are no longer kept.
+	// Gone ends the stream, since the platform no longer keeps the requested events.
 	Gone bool `json:"gone,omitempty"`
 }
 
-// VM is one row of GET /vms and the body of PUT /vms/{id}.
+// VM is one entry of the reply to GET /vms, and the body of PUT /vms/{id}.
 type VM struct {
 	ID         string `json:"id"`
 	Address    string `json:"address"`
@@ -37,8 +37,8 @@
 	Leaving    bool   `json:"leaving,omitempty"`
 }
 
-// Path gives the URL path of an object, or of a kind when name is empty.
-// Segments are query-escaped, since that is what the servers' router undoes.
+// Path returns the URL path of an object, or of a kind if name is empty. The segments
+// are query-escaped, since the servers' router unescapes them that way.
 func Path(kind, name string) string {
 	p := "/objects/" + url.QueryEscape(kind)
 	if name != "" {
@@ -47,10 +47,10 @@
 	return p
 }
 
-// Tag gives a version as an entity tag.
+// Tag formats a version as an entity tag.
 func Tag(version int64) string { return `"` + strconv.FormatInt(version, 10) + `"` }
 
-// ParseTag gives the version of an entity tag.
+// ParseTag returns the version in an entity tag, or an error if it holds no number.
 func ParseTag(tag string) (int64, error) {
 	return strconv.ParseInt(strings.Trim(tag, `"`), 10, 64)
 }
--- a/durable/storetest/storetest.go
+++ b/durable/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest holds the contract of durable.Store as one table of tests,
-// which the stand-in and each client of the platform must pass.
+// Package storetest tests the contract of durable.Store in one table of tests, which the
+// stand-in and each client of the platform must pass.
 package storetest
 
 import (
@@ -12,25 +12,25 @@
 	"goldcrestfork/durable"
 )
 
-// Faults lets the table break the store under test.
+// Faults injects faults into the store under test.
 type Faults interface {
-	// Outage starts or ends one.
+	// Outage starts an outage if down is true, and otherwise ends it.
 	Outage(down bool)
 	// LoseReply loses the reply to the next write, with or without its effect.
 	LoseReply(effect bool)
-	// HoldWrite loses the next write's reply and keeps its effect back until Release.
+	// HoldWrite loses the next write's reply and delays its effect until Release.
 	HoldWrite()
-	// Release lets a held write reach the store, where its condition is checked.
+	// Release delivers a held write to the store, which then checks its condition.
 	Release()
-	// LoseHistory makes the next watch start too late.
+	// LoseHistory drops the history, so that the next watch fails with ErrGone.
 	LoseHistory()
 	// Slow delays each call.
 	Slow(d time.Duration)
-	// SetVMs sets the list of VMs.
+	// SetVMs replaces the list of VMs.
 	SetVMs(vms []durable.VM)
 }
 
-// Fixture is one empty store and its faults.
+// Fixture is one empty store with its fault injection.
 type Fixture struct {
 	Store  durable.Store
 	Faults Faults
@@ -40,7 +40,7 @@
 
 var key = durable.Key{Kind: kind, Name: "a/b+c d"}
 
-// Run checks the contract against stores from newStore.
+// Run runs the tests of the contract, each on a new store from newStore.
 func Run(t *testing.T, newStore func(*testing.T) Fixture) {
 	t.Helper()
 	for _, c := range cases {
@@ -52,10 +52,10 @@
 	name string
 	run  func(*testing.T, Fixture)
 }{
-	{"get of nothing", getOfNothing},
+	{"get of a missing object", getMissing},
 	{"versions grow over all objects", versionsGrow},
-	{"the loser of a race is told the current object", conflicts},
-	{"delete", deletes},
+	{"a conflict returns the current object", conflicts},
+	{"delete", deleteObject},
 	{"value too large", tooLarge},
 	{"list is consistent with a watch", listThenWatch},
 	{"outage", outage},
@@ -70,7 +70,7 @@
 	{"list of VMs", vms},
 }
 
-func getOfNothing(t *testing.T, f Fixture) {
+func getMissing(t *testing.T, f Fixture) {
 	_, err := f.Store.Get(t.Context(), key)
 	require.ErrorIs(t, err, durable.ErrNotFound)
 }
@@ -98,7 +98,7 @@
 	requireConflict(t, f.Store.Delete(t.Context(), key, first.Version), second.Version, "2")
 }
 
-func deletes(t *testing.T, f Fixture) {
+func deleteObject(t *testing.T, f Fixture) {
 	require.ErrorIs(t, f.Store.Delete(t.Context(), key, 3), durable.ErrNotFound)
 	o := put(t, f, key, "1", 0)
 	require.NoError(t, f.Store.Delete(t.Context(), key, o.Version))
