--- a/gateway/view/fleet_test.go
+++ b/gateway/view/fleet_test.go
@@ -160,7 +160,9 @@
 			f.Apply = vm.view.ApplyConfig
 		}
 		running.Go(func() {
-			sleep(ctx, vm.late)
+			if vm.late > 0 {
+				sleep(ctx, vm.late)
+			}
 			f.Run(ctx)
 		})
 	}
