--- a/config/action.go
+++ b/config/action.go
@@ -9,85 +9,86 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Action is what an operator does to one object, named as on the command line.
+// Action is an operator's action on one object, with the name of its command.
 type Action string
 
 // The actions of operators.
 const (
-	// ActionWithdraw keeps a model version from all new work; ActionServe ends that.
+	// ActionWithdraw stops all new work for a model version; ActionServe allows it again.
 	ActionWithdraw Action = "withdraw"
 	ActionServe    Action = "serve"
-	// ActionDrain takes a data centre or an endpoint out; ActionTakeBack brings it back.
+	// ActionDrain stops new work for a data centre or an endpoint; ActionTakeBack allows it
+	// again.
 	ActionDrain    Action = "drain"
 	ActionTakeBack Action = "take-back"
-	// ActionStart, ActionPause, ActionResume and ActionRollBack drive a roll-out.
+	// ActionStart, ActionPause, ActionResume and ActionRollBack change the state of a roll-out.
 	ActionStart    Action = "start"
 	ActionPause    Action = "pause"
 	ActionResume   Action = "resume"
 	ActionRollBack Action = "roll-back"
 )
 
-// OperatorReason starts the reason of a roll-out's state that an operator set;
-// the controller leaves such a state alone.
-const OperatorReason = "operator: "
+// OperatorReason is the prefix of a roll-out's reason if an operator set the state. The
+// controller doesn't change such a state.
+const OperatorReasonPrefix = "operator: "
 
-// actions lists what each kind takes.
+// actions holds the actions of each kind and how they edit the object.
 var actions = map[Kind]map[Action]func(Object, string) error{
 	KindVersion: {
-		ActionWithdraw: setVersion(VersionWithdrawn),
-		ActionServe:    setVersion(VersionServing),
+		ActionWithdraw: versionEdit(VersionWithdrawn),
+		ActionServe:    versionEdit(VersionServing),
 	},
 	KindDataCentre: {
-		ActionDrain:    setDataCentre(DataCentreOut),
-		ActionTakeBack: setDataCentre(DataCentreIn),
+		ActionDrain:    dataCentreEdit(DataCentreOut),
+		ActionTakeBack: dataCentreEdit(DataCentreIn),
 	},
 	KindEndpoint: {
-		ActionDrain:    setEndpoint(EndpointLeaving),
-		ActionTakeBack: setEndpoint(EndpointServing),
+		ActionDrain:    endpointEdit(EndpointLeaving),
+		ActionTakeBack: endpointEdit(EndpointServing),
 	},
 	KindRollOut: {
-		ActionStart:    fireRollOut(ActionStart),
-		ActionPause:    fireRollOut(ActionPause),
-		ActionResume:   fireRollOut(ActionResume),
-		ActionRollBack: fireRollOut(ActionRollBack),
+		ActionStart:    rollOutEdit(ActionStart),
+		ActionPause:    rollOutEdit(ActionPause),
+		ActionResume:   rollOutEdit(ActionResume),
+		ActionRollBack: rollOutEdit(ActionRollBack),
 	},
 }
 
-// NewAction makes the change for an action; the reason is kept where the kind has
-// room for it. It is made on the object as it stands when the change is accepted,
-// so that it never loses a race: a withdrawal must not.
+// NewAction returns the change for an action. The reason is kept if the kind has a field for
+// it. The change edits the object as it is when it is accepted and so never conflicts with
+// another one: a withdrawal must not fail for that. The error is of type Problems.
 func NewAction(kind Kind, name string, action Action, reason string) (Change, error) {
 	edit, ok := actions[kind][action]
 	if !ok {
 		known := slices.Sorted(maps.Keys(actions[kind]))
-		return Change{}, Problems{{Kind: kind, Name: name, Field: "action", Got: fmt.Sprintf("%q", action), Want: "one of " + join(known)}}
+		return Change{}, Problems{{Kind: kind, Name: name, Field: "action", Got: fmt.Sprintf("%q", action), Want: "one of " + joinTexts(known)}}
 	}
 	return Change{Op: OpEdit, Kind: kind, Name: name, Edit: func(o Object) error { return edit(o, reason) }}, nil
 }
 
-func setVersion(state VersionState) func(Object, string) error {
+func versionEdit(state VersionState) func(Object, string) error {
 	return func(o Object, _ string) error {
 		o.(*ModelVersion).State = state
 		return nil
 	}
 }
 
-func setDataCentre(state DataCentreState) func(Object, string) error {
+func dataCentreEdit(state DataCentreState) func(Object, string) error {
 	return func(o Object, _ string) error {
 		o.(*DataCentre).State = state
 		return nil
 	}
 }
 
-func setEndpoint(state EndpointState) func(Object, string) error {
+func endpointEdit(state EndpointState) func(Object, string) error {
 	return func(o Object, _ string) error {
 		o.(*Endpoint).State = state
 		return nil
 	}
 }
 
-// fireRollOut makes an operator's step of the roll-out's state machine.
-func fireRollOut(action Action) func(Object, string) error {
+// rollOutEdit returns an edit that applies an operator's action to a roll-out's state machine.
+func rollOutEdit(action Action) func(Object, string) error {
 	return func(o Object, reason string) error {
 		r := o.(*RollOut)
 		m := rollOutMachine(r)
@@ -97,14 +98,13 @@
 				Want: fmt.Sprintf("a state that takes %s; this one takes %v", action, allowed)}}
 		}
 		r.State = m.MustState().(RollOutState)
-		r.Reason = OperatorReason + reason
+		r.Reason = OperatorReasonPrefix + reason
 		return nil
 	}
 }
 
-// rollOutMachine holds what an operator may do in which state. Start begins a
-// roll-out from its first step, also after it was rolled back; resume goes on
-// from the step at which it was paused.
+// rollOutMachine returns the state machine of operators' actions. Start begins a roll-out at
+// its first step, also after a roll-back; resume continues at the step at which it was paused.
 func rollOutMachine(r *RollOut) *stateless.StateMachine {
 	m := stateless.NewStateMachine(r.State)
 	fromStart := func(context.Context, ...any) error {
--- a/config/apply.go
+++ b/config/apply.go
@@ -5,8 +5,8 @@
 	"maps"
 )
 
-// applyAll makes the changes on a snapshot that is not published yet and checks
-// the result as a whole. The snapshot is spoilt when it returns an error.
+// applyAll applies the changes to an unpublished snapshot and validates the result as a whole.
+// If it returns an error, the snapshot must not be used.
 func applyAll(s *Snapshot, changes []Change) error {
 	if len(changes) == 0 {
 		return Problems{{Field: "changes", Want: "at least one change"}}
@@ -25,7 +25,7 @@
 func applyOne(s *Snapshot, c *Change, revision int64) error {
 	kind, name := c.target()
 	current := s.Get(kind, name)
-	if !c.holds(current) {
+	if !c.conditionMet(current) {
 		return &ConflictError{Kind: kind, Name: name, Current: current, Revision: s.Revision}
 	}
 	if current == nil && c.Op != OpPut {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// holds reports whether the condition on the object's revision is met.
-func (c *Change) holds(current Object) bool {
+// conditionMet reports whether the condition on the object's revision is met.
+func (c *Change) conditionMet(current Object) bool {
 	switch {
 	case c.IfRevision == IfAny:
 		return true
@@ -78,13 +78,13 @@
 	return o
 }
 
-// removed names what the changes delete.
-func removed(changes []Change) []ref {
-	var gone []ref
+// deletedRefs returns the objects that the changes delete.
+func deletedRefs(changes []Change) []objectRef {
+	var refs []objectRef
 	for i := range changes {
 		if changes[i].Op == OpDelete {
-			gone = append(gone, ref{changes[i].Kind, changes[i].Name})
+			refs = append(refs, objectRef{changes[i].Kind, changes[i].Name})
 		}
 	}
-	return gone
+	return refs
 }
--- a/config/assemble.go
+++ b/config/assemble.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Assemble makes a configuration of objects as they stand in files and checks it
-// as a whole, without any platform. An object given twice is a problem.
+// Assemble builds a configuration from the objects in files and validates it as a whole,
+// without a platform. Two objects of the same kind and name are a problem.
 func Assemble(objects []Object) (*Snapshot, []Problem) {
 	s := &Snapshot{}
 	var problems []Problem
--- a/config/benchmark_test.go
+++ b/config/benchmark_test.go
@@ -12,12 +12,12 @@
 	"goldcrestfork/standin/store"
 )
 
-// BenchmarkRoot gives the root's size and the time to encode, decode and validate
-// it, at three sizes; docs/capacity/configuration.md works from its slopes.
+// BenchmarkRoot measures the root's size and the time to encode, decode and validate it, at
+// three sizes; docs/capacity/configuration.md uses the slopes.
 func BenchmarkRoot(b *testing.B) {
 	for _, endpoints := range []int{500, 2000, 8000} {
-		s := sized(endpoints)
-		r := root{Format: format, Snapshot: s}
+		s := sizedSnapshot(endpoints)
+		r := root{Format: formatVersion, Snapshot: s}
 		for range historyLength {
 			r.accept(fmt.Sprintf("0198c0de-%04x-7000-8000-%012x", s.Revision, s.Revision*7919), nil)
 		}
@@ -46,44 +46,45 @@
 	}
 }
 
-// BenchmarkDelta is what a VM pays to serve one change to a peer, and the peer to take it.
+// BenchmarkDelta measures the time to encode a delta of one change, and to apply it on another
+// VM.
 func BenchmarkDelta(b *testing.B) {
 	for _, endpoints := range []int{500, 2000, 8000} {
-		r := &root{Format: format, Snapshot: sized(endpoints)}
+		r := &root{Format: formatVersion, Snapshot: sizedSnapshot(endpoints)}
 		r.Snapshot.Revision = 1_000_000
-		old := &root{Format: format, Snapshot: r.Snapshot.shallow()}
+		old := &root{Format: formatVersion, Snapshot: r.Snapshot.shallowCopy()}
 		require.NoError(b, applyAll(r.Snapshot, []Change{centre("dc-00")}))
 		r.accept("0198c0de-0000-7000-8000-000000000000", nil)
-		encoded, ok := r.delta(1_000_000)
+		encoded, ok := r.encodeDelta(1_000_000)
 		require.True(b, ok)
 		b.Run(fmt.Sprintf("make/endpoints=%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
-				r.delta(1_000_000)
+				r.encodeDelta(1_000_000)
 			}
 			b.ReportMetric(float64(len(encoded)), "delta-bytes")
 		})
 		b.Run(fmt.Sprintf("apply/endpoints=%d", endpoints), func(b *testing.B) {
 			for b.Loop() {
-				_, err := old.apply(encoded)
+				_, err := old.applyDelta(encoded)
 				require.NoError(b, err)
 			}
 		})
 	}
 }
 
-// BenchmarkLook is what a follower does each lookPeriod when nothing has changed.
+// BenchmarkLook measures the work of a follower in each followPeriod if nothing has changed.
 func BenchmarkLook(b *testing.B) {
 	for _, vms := range []int{7, 100, 400} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			m := newMesh(store.New(), vms, max(3, vms/21))
 			v := m.vms[vms-1]
 			for _, other := range m.vms {
-				v.heard[other.id] = 0
-				v.cache.inquiry.reports[other.id] = staleness.Report{VM: other.id, DataCentre: other.centre, Echoed: time.Now().Add(time.Hour)}
+				v.revisions[other.id] = 0
+				v.cache.poller.reports[other.id] = staleness.Report{VM: other.id, DataCentre: other.centre, AskedAt: time.Now().Add(time.Hour)}
 			}
 			b.Run("request", func(b *testing.B) {
-				v.cache.confirm(time.Now().Add(time.Hour))
-				v.cache.judge(time.Now())
+				v.cache.recordConfirmation(time.Now().Add(time.Hour))
+				v.cache.evaluate(time.Now())
 				b.ReportAllocs()
 				for b.Loop() {
 					v.cache.Staleness(time.Now())
@@ -91,7 +92,7 @@
 			})
 			b.ReportAllocs()
 			for b.Loop() {
-				v.cache.choose(time.Now())
+				v.cache.chooseMode(time.Now())
 				v.cache.follow(b.Context())
 			}
 		})
--- a/config/cache.go
+++ b/config/cache.go
@@ -13,51 +13,53 @@
 	"goldcrestfork/durable"
 )
 
-// Peers is what a cache needs of the other VMs.
+// Peers provides the other VMs' revisions and configurations.
 type Peers interface {
-	// Watcher reports whether this VM ranks among the about two of its data centre
-	// that hold the platform's watch.
+	// Watcher reports whether this VM is one of the VMs of its data centre, usually two, that
+	// hold the watch on the platform.
 	Watcher() bool
-	// Revisions gives the configuration revision of each VM heard lately, by VM.
+	// Revisions returns the configuration revisions in the VMs' recent heartbeats, by VM.
 	Revisions() map[string]int64
-	// Fetch asks a VM for its encoded configuration if its revision is above have; nil when it isn't.
+	// Fetch returns a VM's encoded configuration or delta if its revision is above have, else
+	// nil.
 	Fetch(ctx context.Context, vm string, have int64) ([]byte, error)
 }
 
-// Options of a cache.
+// Options configure a Cache.
 type Options struct {
-	// Store is the platform.
+	// Store is the platform's store.
 	Store durable.Store
-	// Peers are the other VMs; nil for a VM alone.
+	// Peers are the other VMs; nil if there are none.
 	Peers Peers
-	// Contacts asks the other VMs for their evidence; given exactly when Peers is.
+	// Contacts asks the other VMs for their evidence. It is set exactly when Peers is.
 	Contacts Contacts
-	// DataCentre is where this VM runs.
+	// DataCentre is the data centre of this VM.
 	DataCentre string
-	// VMs gives the number of VMs in each data centre by the platform's last list, this
-	// one included; nil for a VM alone.
+	// VMs returns the number of VMs in each data centre in the platform's last list, this VM
+	// included; nil if there are no other VMs.
 	VMs func() map[string]int
-	// Metrics counts; nil counts nowhere.
+	// Metrics counts the cache's operations; nil stands for unregistered metrics.
 	Metrics *Metrics
-	// Log takes a line for each change of the verdict or of the source.
+	// Log receives a line for each change of the verdict or of the configuration's source.
 	Log zerolog.Logger
 }
 
-// published is one configuration in force on this VM, with the bytes that peers
-// are given; they are made when the first peer needs them.
+// published is a configuration in force on this VM. encoded returns the bytes for other VMs,
+// which are made at the first call.
 type published struct {
 	root    *root
 	encoded func() []byte
 }
 
-// fromBytes is a configuration that came encoded. The bytes are passed on as they
-// are: a newer release's hold fields that this one does not know.
-func fromBytes(r *root, encoded []byte) *published {
+// publishedFromBytes returns a configuration that was received encoded. The bytes are passed on
+// unchanged, since those of a newer release hold fields that this release doesn't know.
+func publishedFromBytes(r *root, encoded []byte) *published {
 	return &published{root: r, encoded: func() []byte { return encoded }}
 }
 
-// fromDelta is a configuration that was made here; nil bytes if it can't be encoded.
-func fromDelta(r *root) *published {
+// publishedFromRoot returns a configuration that this VM assembled; encoded returns nil if the
+// encoding fails.
+func publishedFromRoot(r *root) *published {
 	return &published{root: r, encoded: sync.OnceValue(func() []byte {
 		encoded, err := r.encode()
 		if err != nil {
@@ -67,93 +69,94 @@
 	})}
 }
 
-// Cache holds the configuration in force on this VM. It only ever moves to a
-// higher revision, whatever the platform or a peer says.
+// Cache holds the configuration in force on this VM. It only ever moves to a higher revision,
+// whatever the platform or another VM sends.
 type Cache struct {
 	opts    Options
 	current atomic.Pointer[published]
-	inquiry inquiry
+	poller  poller
 	hints   chan hint
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu      sync.Mutex
 	changed chan struct{}
-	// confirmed is when this VM's own call to the platform last showed that no newer root existed.
-	confirmed time.Time
-	// proof is the latest moment at which this VM's configuration is known to have been
-	// current, by its own call or another VM's; it stays true whatever comes later.
-	proof time.Time
-	// failing says that this VM's last call to the platform failed.
-	failing bool
-	// verdict is the last one that was given.
+	// ownConfirmedAt is the latest time at which a call of this VM to the platform showed that
+	// no newer root existed.
+	ownConfirmedAt time.Time
+	// confirmedAt is the latest time at which this VM's configuration is known to have been
+	// current, by its own call or another VM's. It never decreases.
+	confirmedAt time.Time
+	// storeFailing reports whether this VM's last call to the platform failed.
+	storeFailing bool
+	// verdict is the last verdict on staleness.
 	verdict staleness.Verdict
-	// mode is where the configuration comes from now.
+	// mode is the present source of the configuration.
 	mode Mode
 }
 
-// NewCache returns a cache at revision zero; Run fills it.
+// NewCache returns a cache at revision zero. Run fills it.
 func NewCache(opts Options) *Cache {
 	if opts.Metrics == nil {
 		opts.Metrics = NewMetrics(nil)
 	}
 	c := &Cache{opts: opts, changed: make(chan struct{}), mode: ModeStarting, hints: make(chan hint, 1)}
-	c.inquiry = inquiry{contacts: opts.Contacts, metrics: opts.Metrics, reports: make(map[string]staleness.Report)}
-	c.current.Store(fromBytes(&root{Format: format, Snapshot: &Snapshot{}}, nil))
+	c.poller = poller{contacts: opts.Contacts, metrics: opts.Metrics, reports: make(map[string]staleness.Report)}
+	c.current.Store(publishedFromBytes(&root{Format: formatVersion, Snapshot: &Snapshot{}}, nil))
 	return c
 }
 
-// Snapshot returns the configuration in force; it is never nil and never changed.
+// Snapshot returns the configuration in force. It is never nil, and callers must not modify it.
 func (c *Cache) Snapshot() *Snapshot { return c.current.Load().root.Snapshot }
 
 // Revision returns the revision in force.
 func (c *Cache) Revision() int64 { return c.Snapshot().Revision }
 
-// Encoded returns the bytes that bring a peer from revision have to the one in
-// force here: a delta where the history reaches back, else the whole. It is nil
-// when the peer has as much. A have of 0 asks for the whole.
+// Encoded returns the bytes that bring a VM from revision have to the one in force here: a
+// delta if the history reaches back to have, else the whole configuration. It returns nil if
+// have is not below the revision in force. With have 0 it returns the whole configuration.
 func (c *Cache) Encoded(have int64) []byte {
 	p := c.current.Load()
 	if p.root.Snapshot.Revision <= have {
 		return nil
 	}
-	if d, ok := p.root.delta(have); ok {
+	if d, ok := p.root.encodeDelta(have); ok {
 		return d
 	}
 	return p.encoded()
 }
 
-// Offer takes an encoded configuration or delta from the platform, a peer or an
-// accepted change, and reports whether it was put in force.
+// Offer decodes a configuration or delta from the platform, another VM or an accepted change,
+// and puts it in force if it is newer. It reports whether it did. The error is ErrFormat, or
+// says that a delta does not fit.
 func (c *Cache) Offer(encoded []byte) (bool, error) {
-	_, ok, err := c.take(encoded)
+	_, ok, err := c.install(encoded)
 	return ok, err
 }
 
-// take puts an encoded configuration or delta in force if it is newer, and returns
-// its revision.
-func (c *Cache) take(encoded []byte) (int64, bool, error) {
+// install decodes a configuration or delta and puts it in force if it is newer. It returns its
+// revision and whether it was put in force.
+func (c *Cache) install(encoded []byte) (int64, bool, error) {
 	var p *published
 	if bytes.HasPrefix(encoded, deltaMagic) {
-		r, err := c.current.Load().root.apply(encoded)
+		r, err := c.current.Load().root.applyDelta(encoded)
 		if err != nil {
 			c.opts.Metrics.Misfits.Inc()
 			return 0, false, err
 		}
-		p = fromDelta(r)
+		p = publishedFromRoot(r)
 	} else {
 		r, err := decodeRoot(encoded)
 		if err != nil {
 			c.opts.Metrics.Undecodable.Inc()
 			return 0, false, err
 		}
-		p = fromBytes(r, encoded)
+		p = publishedFromBytes(r, encoded)
 	}
 	return p.root.Snapshot.Revision, c.publish(p), nil
 }
 
-// publish puts a configuration in force only if its revision is higher than the
-// one in force: a stale list, a late watch event or a peer that lags would
-// otherwise bring a withdrawn version back.
+// publish puts a configuration in force if its revision is higher than the one in force. A
+// stale list, a late watch event or a VM that lags would otherwise restore a withdrawn version.
 func (c *Cache) publish(p *published) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,8 +173,8 @@
 	return true
 }
 
-// WaitRevision returns the configuration once it is at revision or above, for
-// read-your-writes on any VM, or the context's error.
+// WaitRevision waits until the configuration is at revision or above and returns it, so that a
+// change can be read on any VM. It returns the context's error if ctx ends first.
 func (c *Cache) WaitRevision(ctx context.Context, revision int64) (*Snapshot, error) {
 	for {
 		changed := c.Changed()
@@ -186,16 +189,16 @@
 	}
 }
 
-// Changed returns a channel that closes at the next publication. Take it before
-// reading the snapshot, so that none is missed.
+// Changed returns a channel that is closed at the next publication. Callers get the channel
+// before they read the snapshot, so that they miss no publication.
 func (c *Cache) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// Subscribe calls f with the configuration in force and with each later one
-// until ctx ends. A slow f skips revisions, never goes back.
+// Subscribe calls f with the configuration in force and with later ones until ctx ends. If f is
+// slow, it misses revisions in between; revisions never decrease.
 func (c *Cache) Subscribe(ctx context.Context, f func(*Snapshot)) {
 	for {
 		changed := c.Changed()
@@ -208,7 +211,7 @@
 	}
 }
 
-// State is the cache's part of the state dump.
+// State is the configuration part of the state dump.
 type State struct {
 	Revision     int64              `json:"revision"`
 	Mode         Mode               `json:"mode"`
@@ -217,11 +220,12 @@
 	Objects      map[Kind]int       `json:"objects"`
 }
 
-// Dump says what is in force here, where it came from and why work is taken or not.
+// Dump returns the revision in force, its source, the decision whether this VM takes work, and
+// the number of objects of each kind.
 func (c *Cache) Dump(now time.Time) State {
 	s := c.Snapshot()
 	c.mu.Lock()
-	mode, failing := c.mode, c.failing
+	mode, failing := c.mode, c.storeFailing
 	c.mu.Unlock()
 	counts := make(map[Kind]int)
 	for _, kind := range Kinds {
@@ -229,6 +233,6 @@
 	}
 	return State{
 		Revision: s.Revision, Mode: mode, StoreFailing: failing,
-		Staleness: c.judge(now), Objects: counts,
+		Staleness: c.evaluate(now), Objects: counts,
 	}
 }
--- a/config/cache_test.go
+++ b/config/cache_test.go
@@ -13,14 +13,13 @@
 	"goldcrestfork/standin/store"
 )
 
-// The operator changes something on one VM and reads on another, one that
-// doesn't watch the platform. The read with the change's revision waits until
-// the change is there.
+// A change that is accepted on one VM must be readable on a VM without a watch: WaitRevision
+// with the change's revision returns once the change is in force there.
 func TestReadYourWritesOnAnotherVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(store.New(), 7)
 		defer f.run(t.Context())()
-		settle(time.Second)
+		advance(time.Second)
 		revision, _, err := f.vms[0].editor.Apply(t.Context(), []Change{centre("norte-a")})
 		require.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -35,20 +34,21 @@
 	})
 }
 
-// A version is withdrawn. A peer that lags, a late watch event and a restored
-// backup each offer the configuration from before; none may bring it back.
+// A peer that lags, a late watch event and a restored backup each offer the configuration from
+// before a change. None of them may replace the later one, or a withdrawn version would serve
+// again.
 func TestConfigurationNeverReverts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(store.New(), 4)
 		defer f.run(t.Context())()
-		settle(time.Second)
+		advance(time.Second)
 		first, err := f.vms[0].cache.WaitRevision(t.Context(), 0)
 		require.NoError(t, err)
 		old, err := Encode(first)
 		require.NoError(t, err)
 		_, _, err = f.vms[0].editor.Apply(t.Context(), []Change{centre("norte-a")})
 		require.NoError(t, err)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 
 		for _, v := range f.vms {
 			ok, err := v.cache.Offer(old)
@@ -60,26 +60,26 @@
 		require.NoError(t, err)
 		_, err = f.store.Put(t.Context(), RootKey, old, o.Version)
 		require.NoError(t, err)
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		for _, v := range f.vms {
 			require.EqualValues(t, 1, v.cache.Revision())
 		}
 		_, _, err = f.vms[1].editor.Apply(t.Context(), []Change{centre("norte-b")})
 		require.ErrorIs(t, err, ErrReverted)
 
-		// The operator puts it right, although the reply to that is lost.
+		// Restore repairs the platform, although the reply to its write is lost.
 		f.store.SetFaults(store.Faults{LoseReplies: 1})
 		revision, _, err := f.vms[1].editor.Restore(t.Context(), "restore-1")
 		require.NoError(t, err)
 		require.EqualValues(t, 2, revision)
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		for _, v := range f.vms {
 			require.EqualValues(t, 2, v.cache.Revision())
 			require.Contains(t, v.cache.Snapshot().DataCentres, "norte-a")
 			require.Equal(t, staleness.Fresh, v.cache.Staleness(time.Now()).Verdict)
 		}
 		again, _, err := f.vms[1].editor.Restore(t.Context(), "restore-1")
-		require.NoError(t, err, "a repeat, since the answer was lost, must not read that nothing was accepted")
+		require.NoError(t, err, "a repeat with the same id must return the first result")
 		require.EqualValues(t, 2, again)
 		_, _, err = f.vms[0].editor.Restore(t.Context(), "")
 		require.ErrorIs(t, err, ErrNothingToRestore)
@@ -88,8 +88,8 @@
 	})
 }
 
-// The platform was set back, and the VM that the operator asks to restore lags
-// behind another one. Its configuration must not replace the later one.
+// The platform holds an older configuration, and the VM that the operator asks to restore lags
+// behind another VM. Its configuration must not replace the later one.
 func TestRestoreRefusesALaggingVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(store.New(), 4)
@@ -109,43 +109,43 @@
 	})
 }
 
-// A watch dies unseen while a change is accepted, and when it is opened anew the
-// platform no longer keeps that event. Only a list can bring the change; callers
-// of the VM would otherwise be served under the old configuration for good.
+// A watch's connection dies unnoticed while a change is accepted, and the platform no longer
+// has that event when a new watch is opened. The cache must list again, else the VM would serve
+// under the old configuration for good.
 func TestWatchGapsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		f := newFleet(s, 1)
 		defer f.run(t.Context())()
-		settle(time.Second)
+		advance(time.Second)
 		v, other := f.vms[0], Editor{Store: s}
-		v.storeCut.Store(true)
+		v.storeUnreachable.Store(true)
 		revision, _, err := other.Apply(t.Context(), []Change{centre("norte-a")})
 		require.NoError(t, err)
-		settle(10 * time.Millisecond)
+		advance(10 * time.Millisecond)
 		require.Zero(t, v.cache.Revision())
-		v.storeCut.Store(false)
+		v.storeUnreachable.Store(false)
 		s.SetFaults(store.Faults{HistoryLost: true})
-		settle(2 * Rotation)
+		advance(2 * WatchRotation)
 		require.Equal(t, revision, v.cache.Revision())
 	})
 }
 
-// The platform is down for ten minutes. The VMs go on, since nothing can change;
-// a VM that starts meanwhile takes the configuration from its peers; one without
-// peers is not ready. When one VM is cut from the peers and the platform while
-// that one works, it stops taking work within the bound.
-func TestOutageForAllAndCutOfOne(t *testing.T) {
+// The platform is down for ten minutes: VMs go on taking work, a starting VM gets the
+// configuration from its peers, and one without peers is not ready. A VM that is cut off from
+// its peers and the platform while the platform works must stop taking work within
+// staleness.Bound.
+func TestPlatformOutageAndIsolatedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		f := newFleet(s, 6)
 		stop := f.run(t.Context())
-		settle(time.Second)
+		advance(time.Second)
 		_, _, err := f.vms[0].editor.Apply(t.Context(), []Change{centre("norte-a")})
 		require.NoError(t, err)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		s.SetFaults(store.Faults{Down: true})
-		settle(10 * time.Minute)
+		advance(10 * time.Minute)
 		for _, v := range f.vms {
 			d := v.cache.Staleness(time.Now())
 			require.Equal(t, staleness.StoreDown, d.Verdict, "%s: %s", v.name, d.Reason)
@@ -154,22 +154,22 @@
 
 		joining := f.add("b", false)
 		alone := f.add("f", false)
-		alone.cut.Store(true)
+		alone.isolated.Store(true)
 		defer f.run(t.Context())()
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		require.EqualValues(t, 1, joining.cache.Revision())
 		require.True(t, joining.cache.Staleness(time.Now()).TakesWork())
 		require.Equal(t, staleness.Starting, alone.cache.Staleness(time.Now()).Verdict)
 
 		s.SetFaults(store.Faults{})
-		settle(15 * time.Second)
-		require.Equal(t, staleness.Fresh, alone.cache.Staleness(time.Now()).Verdict, "a VM without peers reads the platform itself")
+		advance(15 * time.Second)
+		require.Equal(t, staleness.Fresh, alone.cache.Staleness(time.Now()).Verdict, "a VM without peers must read the platform itself")
 		cutOff := f.vms[0]
-		cutOff.cut.Store(true)
-		cutOff.storeCut.Store(true)
-		settle(staleness.Bound + Rotation)
+		cutOff.isolated.Store(true)
+		cutOff.storeUnreachable.Store(true)
+		advance(staleness.Bound + WatchRotation)
 		require.Equal(t, staleness.Cut, cutOff.cache.Staleness(time.Now()).Verdict)
-		require.EqualValues(t, 1, testutil.ToFloat64(cutOff.cache.opts.Metrics.Verdicts.WithLabelValues("cut")), "those on call must see it")
+		require.EqualValues(t, 1, testutil.ToFloat64(cutOff.cache.opts.Metrics.Verdicts.WithLabelValues("cut")), "the change of the verdict must be counted")
 		_, _, err = cutOff.editor.Apply(t.Context(), []Change{centre("norte-b")})
 		require.ErrorIs(t, err, staleness.ErrMinority)
 		require.Equal(t, staleness.Fresh, f.vms[1].cache.Staleness(time.Now()).Verdict)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each row spoils a valid configuration in one way; the operator must be told
-// which field of which object, or a bad change would be in force everywhere.
+// Each row makes a valid configuration invalid in one way. Validate must name the field, else
+// the operator can't correct it.
 func TestValidateNamesTheField(t *testing.T) {
-	require.Empty(t, Validate(small()))
+	require.Empty(t, Validate(smallSnapshot()))
 	rows := []struct {
 		name  string
 		spoil func(*Snapshot)
@@ -37,7 +37,7 @@
 		{"version missing", func(s *Snapshot) { delete(s.Versions, "asistente-1") }, "versions[0]", "existing model-version"},
 		{"data centre missing", func(s *Snapshot) { delete(s.DataCentres, "norte-a") }, "dataCentre", "existing data-centre"},
 		{"host name as address", func(s *Snapshot) { s.Endpoints["e1"].Address = "host:9000" }, "address", "IP number"},
-		{"port nought", func(s *Snapshot) { s.Endpoints["e1"].Address = "10.0.0.1:0" }, "address", "port above 0"},
+		{"port zero", func(s *Snapshot) { s.Endpoints["e1"].Address = "10.0.0.1:0" }, "address", "port above 0"},
 		{"cold slots above slots", func(s *Snapshot) { s.Endpoints["e1"].ColdSlots = 9 }, "coldSlots", "1 to slots"},
 		{"no slots", func(s *Snapshot) { s.Endpoints["e1"].Slots = 0 }, "slots", "1 to"},
 		{"versions and service", func(s *Snapshot) { s.Endpoints["e1"].Service = "conector" }, "versions", "either"},
@@ -58,7 +58,7 @@
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
-			s := small()
+			s := smallSnapshot()
 			row.spoil(s)
 			problems := Validate(s)
 			require.NotEmpty(t, problems)
@@ -71,10 +71,10 @@
 	}
 }
 
-// A version turns bad and is the only one of an account. The withdrawal must go
-// through, since exposure to it is the greater harm; the operator is warned.
-func TestWithdrawalIsNeverRefused(t *testing.T) {
-	s := small()
+// A bad version is the only one of an account. Its withdrawal must be accepted, since more
+// requests to it would do greater harm; the operator gets a warning.
+func TestWithdrawalOfOnlyVersionIsAccepted(t *testing.T) {
+	s := smallSnapshot()
 	s.Versions["asistente-1"].State, s.Versions["asistente-2"].State = VersionWithdrawn, VersionWithdrawn
 	require.Empty(t, Validate(s))
 	warnings := Problems(Warnings(s)).Error()
@@ -121,7 +121,7 @@
 }
 
 func TestEncodeRoundTrip(t *testing.T) {
-	s := small()
+	s := smallSnapshot()
 	s.Revision = 7
 	data, err := Encode(s)
 	require.NoError(t, err)
@@ -135,7 +135,7 @@
 }
 
 func TestMarshalIsReadByParse(t *testing.T) {
-	s := small()
+	s := smallSnapshot()
 	for _, kind := range Kinds {
 		for _, o := range s.List(kind, nil) {
 			text, err := Marshal(o)
@@ -147,8 +147,8 @@
 	}
 }
 
-// Each row is an operator's step of a roll-out; a step that makes no sense is
-// refused with what the state takes.
+// Each row is an operator's action on a roll-out. An action that the state does not permit must
+// be refused with the permitted ones.
 func TestRollOutActions(t *testing.T) {
 	rows := []struct {
 		from   RollOutState
@@ -167,7 +167,7 @@
 		{RollOutRolledBack, ActionResume, "", 1},
 	}
 	for _, row := range rows {
-		s := small()
+		s := smallSnapshot()
 		r := s.RollOuts["r1"]
 		r.State, r.Step = row.from, 1
 		c, err := NewAction(KindRollOut, "r1", row.action, "seen errors")
@@ -211,7 +211,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	data, err := Encode(small())
+	data, err := Encode(smallSnapshot())
 	require.NoError(f, err)
 	f.Add(data)
 	f.Add([]byte("gcf"))
--- a/config/contacts.go
+++ b/config/contacts.go
@@ -9,47 +9,50 @@
 	"goldcrestfork/config/staleness"
 )
 
-// Member is another VM that may be asked for its evidence.
+// Member is another VM that can be asked for its evidence.
 type Member struct {
 	VM         string
 	DataCentre string
-	// Watcher: it ranks among those of its data centre that hold the platform's watch.
+	// Watcher reports whether the VM is one of those that hold the watch on the platform in its
+	// data centre.
 	Watcher bool
 }
 
-// Contacts is how a VM asks others what they know of the configuration.
+// Contacts asks the other VMs about the configuration and notifies them of new revisions.
 type Contacts interface {
-	// Members lists the other VMs that are thought to live.
+	// Members lists the other VMs that are believed to be alive.
 	Members() []Member
-	// Ask asks one VM for its evidence, which is its Cache.Evidence. One round trip:
-	// an answer is as old as the question at most, whatever either VM's clock says.
+	// Ask returns the result of Cache.Evidence on another VM. It takes one round trip, so the
+	// answer is no older than the request and doesn't depend on either VM's clock.
 	Ask(ctx context.Context, vm string) (staleness.Evidence, error)
-	// Tell tells one VM which revision is in force here; it calls its Cache.Hint.
-	Tell(ctx context.Context, vm string, revision int64) error
+	// Notify calls Cache.Hint on another VM with the revision in force on this VM.
+	Notify(ctx context.Context, vm string, revision int64) error
 }
 
-// Periods of asking.
+// Periods and timeouts of the requests for evidence.
 const (
-	// askPeriod is the mean pause between questions to a watcher, 2.25 s at most. With
-	// two rotations of a watch before it, a proof is 9.5 s old at most, below readAfter.
+	// askPeriod is the mean interval between requests to a watcher; jitter raises it to 2.25 s
+	// at most. Together with two rotations of the watcher's watch, a confirmation is 9.5 s old
+	// at most, which is below directReadAge.
 	askPeriod = 1500 * time.Millisecond
-	// askTimeout bounds one question: above a round trip between regions (estimated
-	// at 300 ms), below askPeriod.
+	// askTimeout bounds one request. It is longer than a round trip between regions (about 300
+	// ms) and shorter than askPeriod.
 	askTimeout = time.Second
 )
 
-// inquiry keeps what the others answered lately.
-type inquiry struct {
+// poller asks other VMs for their evidence and keeps their latest answers.
+type poller struct {
 	contacts Contacts
 	metrics  *Metrics
 
-	// mu guards reports. It is a leaf.
+	// mu guards reports. No other lock is taken while mu is held.
 	mu      sync.Mutex
 	reports map[string]staleness.Report
 }
 
-// ask asks one VM and keeps its answer, dated to the question.
-func (q *inquiry) ask(ctx context.Context, m Member) bool {
+// ask asks one VM and keeps its answer with the time of the request. It reports whether the VM
+// answered.
+func (q *poller) ask(ctx context.Context, m Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	start := time.Now()
@@ -61,17 +64,18 @@
 	q.metrics.Questions.WithLabelValues("answered").Inc()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.reports[m.VM] = staleness.Report{VM: m.VM, DataCentre: m.DataCentre, Echoed: start, Evidence: evidence}
+	q.reports[m.VM] = staleness.Report{VM: m.VM, DataCentre: m.DataCentre, AskedAt: start, Evidence: evidence}
 	return true
 }
 
-// recent returns the reports that still count and drops those that don't.
-func (q *inquiry) recent(now time.Time) []staleness.Report {
+// recentReports returns the reports that are younger than staleness.Bound and removes the
+// others.
+func (q *poller) recentReports(now time.Time) []staleness.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	reports := make([]staleness.Report, 0, len(q.reports))
 	for vm, r := range q.reports {
-		if now.Sub(r.Echoed) > staleness.Bound {
+		if now.Sub(r.AskedAt) > staleness.Bound {
 			delete(q.reports, vm)
 			continue
 		}
@@ -80,39 +84,41 @@
 	return reports
 }
 
-// one asks a random watcher of the data centre, or any other VM when none is
-// known, and returns who answered.
-func (q *inquiry) one(ctx context.Context, dataCentre string) (string, bool) {
+// askRandom asks a random watcher of the data centre, or any other VM if no watcher is known.
+// It returns the VM's name and whether it answered.
+func (q *poller) askRandom(ctx context.Context, dataCentre string) (string, bool) {
 	members := q.contacts.Members()
-	m, ok := pick(members, func(m Member) bool { return m.DataCentre == dataCentre && m.Watcher })
+	m, ok := pickRandom(members, func(m Member) bool { return m.DataCentre == dataCentre && m.Watcher })
 	if !ok {
-		m, ok = pick(members, func(Member) bool { return true })
+		m, ok = pickRandom(members, func(Member) bool { return true })
 	}
 	return m.VM, ok && q.ask(ctx, m)
 }
 
-// revision is what a VM answered last.
-func (q *inquiry) revision(vm string) int64 {
+// lastRevision returns the revision in a VM's last answer.
+func (q *poller) lastRevision(vm string) int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.reports[vm].Revision
 }
 
-// attemptsEach is how many VMs of a data centre are asked before it counts as silent in a round.
-const attemptsEach = 2
+// maxAsksPerDataCentre bounds the VMs of a data centre that are asked in one call of
+// askDataCentres.
+const maxAsksPerDataCentre = 2
 
-// round asks a VM of each data centre at once. It costs as many calls as there
-// are data centres, so it is kept for a missing proof and for an operator's change.
-func (q *inquiry) round(ctx context.Context) {
-	places := make(map[string][]Member)
+// askDataCentres asks one VM of each data centre concurrently. It makes as many calls as there
+// are data centres, so it runs only while no confirmation is recent enough and before an
+// operator's change is accepted.
+func (q *poller) askDataCentres(ctx context.Context) {
+	byDataCentre := make(map[string][]Member)
 	for _, m := range q.contacts.Members() {
-		places[m.DataCentre] = append(places[m.DataCentre], m)
+		byDataCentre[m.DataCentre] = append(byDataCentre[m.DataCentre], m)
 	}
 	var wg sync.WaitGroup
-	for _, members := range places {
+	for _, members := range byDataCentre {
 		rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 		wg.Go(func() {
-			for _, m := range members[:min(len(members), attemptsEach)] {
+			for _, m := range members[:min(len(members), maxAsksPerDataCentre)] {
 				if q.ask(ctx, m) {
 					return
 				}
@@ -122,8 +128,8 @@
 	wg.Wait()
 }
 
-// pick returns a random member among those wanted.
-func pick(members []Member, want func(Member) bool) (Member, bool) {
+// pickRandom returns a random member among those for which want returns true.
+func pickRandom(members []Member, want func(Member) bool) (Member, bool) {
 	var found Member
 	n := 0
 	for _, m := range members {
@@ -138,38 +144,39 @@
 	return found, n > 0
 }
 
-// inquire asks the others until ctx ends: a watcher now and then, and all data
-// centres while no proof is fresh enough.
-func (c *Cache) inquire(ctx context.Context) {
+// pollPeers asks the other VMs for their evidence until ctx ends: it asks one watcher a period,
+// and all data centres while no confirmation is recent enough.
+func (c *Cache) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch now := time.Now(); {
-		case c.judge(now).Age(now) > readAfter:
-			c.inquiry.round(ctx)
+		case c.evaluate(now).Age(now) > directReadAge:
+			c.poller.askDataCentres(ctx)
 		case !c.opts.Peers.Watcher():
-			c.askOne(ctx)
+			c.askWatcher(ctx)
 		}
 		sleep(ctx, jitter(askPeriod))
 	}
 }
 
-// askOne asks a watcher. One that is ahead proves nothing for this VM until its
-// configuration is taken, so that is done at once.
-func (c *Cache) askOne(ctx context.Context) {
-	vm, ok := c.inquiry.one(ctx, c.opts.DataCentre)
+// askWatcher asks a watcher for its evidence. Evidence about a later revision confirms nothing
+// for this VM until it has that revision, so askWatcher fetches the configuration at once.
+func (c *Cache) askWatcher(ctx context.Context) {
+	vm, ok := c.poller.askRandom(ctx, c.opts.DataCentre)
 	have := c.Revision()
-	if ok && c.inquiry.revision(vm) > have {
+	if ok && c.poller.lastRevision(vm) > have {
 		c.fetch(ctx, vm, have)
 	}
 }
 
-// hint says that a VM has a revision.
+// hint is a notice that a VM has a revision.
 type hint struct {
 	vm       string
 	revision int64
 }
 
-// Hint notes that another VM has a revision, so that it is taken at once instead
-// of with the next heartbeat. A hint that is lost or invented costs a question.
+// Hint records that another VM has a revision, so that this VM fetches it at once instead of
+// after the next heartbeat. A lost hint delays the fetch until then; a false one costs one
+// fetch.
 func (c *Cache) Hint(vm string, revision int64) {
 	if revision <= c.Revision() {
 		return
@@ -180,8 +187,8 @@
 	}
 }
 
-// idle waits, and takes the configuration of a VM that says it has a newer one.
-func (c *Cache) idle(ctx context.Context, d time.Duration) {
+// waitForHint waits for d, or for a hint of a later revision, which it fetches.
+func (c *Cache) waitForHint(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -194,15 +201,15 @@
 	}
 }
 
-// announce tells the other VMs of this data centre of each new revision while this
-// one is a watcher. Heartbeats bring it too, but up to a second later.
+// announce notifies the other VMs of this data centre of each new revision while this VM is a
+// watcher. Heartbeats carry the revision too, but up to a second later.
 func (c *Cache) announce(ctx context.Context) {
-	told := c.Revision()
+	announced := c.Revision()
 	for ctx.Err() == nil {
 		changed := c.Changed()
-		if revision := c.Revision(); revision > told && c.opts.Peers.Watcher() {
-			told = revision
-			c.tellAll(ctx, revision)
+		if revision := c.Revision(); revision > announced && c.opts.Peers.Watcher() {
+			announced = revision
+			c.notifyDataCentre(ctx, revision)
 		}
 		select {
 		case <-changed:
@@ -211,7 +218,7 @@
 	}
 }
 
-func (c *Cache) tellAll(ctx context.Context, revision int64) {
+func (c *Cache) notifyDataCentre(ctx context.Context, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -221,8 +228,8 @@
 		}
 		wg.Go(func() {
 			outcome := "told"
-			if err := c.opts.Contacts.Tell(ctx, m.VM, revision); err != nil {
-				// One that isn't reached hears of it by heartbeats.
+			if err := c.opts.Contacts.Notify(ctx, m.VM, revision); err != nil {
+				// A VM that isn't reached learns the revision from heartbeats.
 				outcome = "failed"
 			}
 			c.opts.Metrics.Notices.WithLabelValues(outcome).Inc()
--- a/config/delta.go
+++ b/config/delta.go
@@ -11,33 +11,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// deltaMagic starts an encoded delta.
+// deltaMagic is the prefix of an encoded delta.
 var deltaMagic = []byte("gcd")
 
-// errNoDelta: a delta does not lead to the sender's configuration; the whole one is needed.
-var errNoDelta = errors.New("delta does not fit")
+// errDeltaMismatch means that a delta does not lead to the sender's configuration; the whole
+// one is needed.
+var errDeltaMismatch = errors.New("delta does not fit")
 
-// ref names one object.
-type ref struct {
+// objectRef identifies an object by kind and name.
+type objectRef struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Name string `cbor:"2,keyasint"`
 }
 
-// delta leads from one revision to a later one. A change touches a few objects,
-// and a VM that serves it to ten others would otherwise send the whole
-// configuration ten times.
+// delta is the difference between a revision and a later one. A change affects a few objects;
+// without deltas, a VM that passes it on to ten others would send the whole configuration ten
+// times.
 type delta struct {
 	Have int64 `cbor:"1,keyasint"`
-	// Changed holds the objects last changed after Have, at the new revision.
+	// Changed holds the objects that changed after revision Have, at the new revision.
 	Changed *Snapshot `cbor:"2,keyasint"`
-	// History holds the changes after Have, and with them what was deleted.
-	History []accepted `cbor:"3,keyasint"`
-	// Sum is the fingerprint of the whole new configuration.
-	Sum uint64 `cbor:"4,keyasint"`
+	// History holds the changes after revision Have, with the objects that they deleted.
+	History []acceptedChange `cbor:"3,keyasint"`
+	// Fingerprint is the fingerprint of the whole new configuration.
+	Fingerprint uint64 `cbor:"4,keyasint"`
 }
 
-// fingerprint identifies a configuration by the name and revision of each object;
-// an object's content changes with its revision only. The order does not matter.
+// fingerprint returns a hash of the names and revisions of all objects. An object's content
+// changes only with its revision. The order of the objects does not matter.
 func (s *Snapshot) fingerprint() uint64 {
 	sum := uint64(s.Revision)
 	for _, kind := range Kinds {
@@ -49,12 +50,13 @@
 	return sum
 }
 
-// delta returns the way from revision have, or false when the history is too short.
-func (r *root) delta(have int64) ([]byte, bool) {
-	if have <= 0 || r.Format > format || !r.covers(have) {
+// encodeDelta returns the encoded delta from revision have, or false if the history does not
+// reach back to it.
+func (r *root) encodeDelta(have int64) ([]byte, bool) {
+	if have <= 0 || r.Format > formatVersion || !r.historyCovers(have) {
 		return nil, false
 	}
-	d := delta{Have: have, Changed: &Snapshot{Revision: r.Snapshot.Revision}, Sum: r.Snapshot.fingerprint()}
+	d := delta{Have: have, Changed: &Snapshot{Revision: r.Snapshot.Revision}, Fingerprint: r.Snapshot.fingerprint()}
 	for _, kind := range Kinds {
 		for _, o := range r.Snapshot.unsorted(kind) {
 			if o.meta().Revision > have {
@@ -74,17 +76,18 @@
 	return append(slices.Clone(deltaMagic), encoded...), true
 }
 
-// apply makes the root that a delta leads to; the old one stays as it is.
-func (r *root) apply(encoded []byte) (*root, error) {
+// applyDelta returns the root that a delta leads to and leaves r unchanged. The error is
+// errDeltaMismatch.
+func (r *root) applyDelta(encoded []byte) (*root, error) {
 	var d delta
 	if err := cbor.Unmarshal(bytes.TrimPrefix(encoded, deltaMagic), &d); err != nil {
-		return nil, fmt.Errorf("%w: %v", errNoDelta, err)
+		return nil, fmt.Errorf("%w: %v", errDeltaMismatch, err)
 	}
-	if d.Changed == nil || !d.Changed.whole() || d.Have != r.Snapshot.Revision || r.Format > format {
-		return nil, errNoDelta
+	if d.Changed == nil || !d.Changed.wellFormed() || d.Have != r.Snapshot.Revision || r.Format > formatVersion {
+		return nil, errDeltaMismatch
 	}
-	next := &root{Format: r.Format, Snapshot: r.Snapshot.shallow(), History: slices.Concat(r.History, d.History)}
-	next.trim()
+	next := &root{Format: r.Format, Snapshot: r.Snapshot.shallowCopy(), History: slices.Concat(r.History, d.History)}
+	next.trimHistory()
 	next.Snapshot.Revision = d.Changed.Revision
 	for _, a := range d.History {
 		for _, gone := range a.Removed {
@@ -96,15 +99,16 @@
 			next.Snapshot.put(o)
 		}
 	}
-	// An object that was missed would stay wrong on this VM for good, and on all that take it from here.
-	if next.Snapshot.fingerprint() != d.Sum {
-		return nil, errNoDelta
+	// Without this check, an object that is missing would stay wrong on this VM, and on all VMs
+	// that fetch from it.
+	if next.Snapshot.fingerprint() != d.Fingerprint {
+		return nil, errDeltaMismatch
 	}
 	return next, nil
 }
 
-// shallow copies the maps and shares the objects, which are never changed.
-func (s *Snapshot) shallow() *Snapshot {
+// shallowCopy copies the maps and shares the objects, which are immutable.
+func (s *Snapshot) shallowCopy() *Snapshot {
 	return &Snapshot{
 		Revision: s.Revision, Accounts: maps.Clone(s.Accounts), Versions: maps.Clone(s.Versions), RollOuts: maps.Clone(s.RollOuts),
 		DataCentres: maps.Clone(s.DataCentres), Endpoints: maps.Clone(s.Endpoints), Services: maps.Clone(s.Services),
--- a/config/delta_test.go
+++ b/config/delta_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// editRoot makes random changes on a root: new objects, changed ones, deletions, a
-// name that is deleted and comes back.
+// editRoot makes n random changes on a root: it creates, replaces and deletes objects, and
+// creates deleted ones again.
 func editRoot(t *rapid.T, r *root, n int) {
 	for range n {
 		name := fmt.Sprintf("dc-%d", rapid.IntRange(0, 5).Draw(t, "name"))
@@ -19,15 +19,15 @@
 			c = Change{Op: OpDelete, Kind: KindDataCentre, Name: name}
 		}
 		require.NoError(t, applyAll(r.Snapshot, []Change{c}))
-		r.accept(fmt.Sprint(r.Snapshot.Revision), removed([]Change{c}))
+		r.accept(fmt.Sprint(r.Snapshot.Revision), deletedRefs([]Change{c}))
 	}
 }
 
-// A VM that was at any earlier revision takes the delta and has the sender's
-// configuration, to the last deletion.
+// A VM at any earlier revision that applies a delta must have the sender's whole configuration,
+// deletions included.
 func TestDeltaLeadsToTheSendersConfiguration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &root{Format: format, Snapshot: &Snapshot{}}
+		r := &root{Format: formatVersion, Snapshot: &Snapshot{}}
 		editRoot(t, r, rapid.IntRange(1, 8).Draw(t, "before"))
 		encoded, err := r.encode()
 		require.NoError(t, err)
@@ -35,9 +35,9 @@
 		require.NoError(t, err)
 		editRoot(t, r, rapid.IntRange(1, 8).Draw(t, "after"))
 
-		d, ok := r.delta(old.Snapshot.Revision)
+		d, ok := r.encodeDelta(old.Snapshot.Revision)
 		require.True(t, ok)
-		next, err := old.apply(d)
+		next, err := old.applyDelta(d)
 		require.NoError(t, err)
 		require.Equal(t, r.Snapshot.fingerprint(), next.Snapshot.fingerprint())
 		require.Equal(t, len(r.Snapshot.DataCentres), len(next.Snapshot.DataCentres))
@@ -45,11 +45,12 @@
 	})
 }
 
-// A delta for another revision, a damaged one and one that misses an object are
-// refused; the VM takes the whole instead of serving a configuration that nobody accepted.
+// A delta for another revision, a damaged one and one after which an object is missing must be
+// refused. The VM then fetches the whole configuration, else it would serve one that was never
+// accepted.
 func TestDeltaThatDoesNotFitIsFollowedByTheWhole(t *testing.T) {
 	sender := NewCache(Options{})
-	r := &root{Format: format, Snapshot: &Snapshot{}}
+	r := &root{Format: formatVersion, Snapshot: &Snapshot{}}
 	r.Snapshot.put(centre("norte-a").Object)
 	r.accept("1", nil)
 	old, err := r.encode()
@@ -62,47 +63,47 @@
 	require.NoError(t, err)
 	require.True(t, ok)
 
-	receiver := NewCache(Options{Peers: giver{sender}})
+	receiver := NewCache(Options{Peers: peer{sender}})
 	_, err = receiver.Offer(sender.Encoded(1))
-	require.ErrorIs(t, err, errNoDelta)
+	require.ErrorIs(t, err, errDeltaMismatch)
 	_, err = receiver.Offer([]byte("gcd?"))
-	require.ErrorIs(t, err, errNoDelta)
+	require.ErrorIs(t, err, errDeltaMismatch)
 
-	lacking, err := decodeRoot(old)
+	incomplete, err := decodeRoot(old)
 	require.NoError(t, err)
-	delete(lacking.Snapshot.DataCentres, "norte-a")
-	require.True(t, receiver.publish(fromDelta(lacking)))
+	delete(incomplete.Snapshot.DataCentres, "norte-a")
+	require.True(t, receiver.publish(publishedFromRoot(incomplete)))
 	require.True(t, receiver.fetch(t.Context(), "sender", 1))
 	require.Equal(t, sender.Snapshot(), receiver.Snapshot())
 
-	// A delta that starts before the VM's revision would give it a history with
-	// changes twice, which then claims to reach back further than it does.
-	fromOne, ok := r.delta(1)
+	// A delta from before the VM's revision would enter changes twice in its history, which
+	// would then seem to reach back further than it does.
+	fromOne, ok := r.encodeDelta(1)
 	require.True(t, ok)
 	require.NoError(t, applyAll(r.Snapshot, []Change{centre("norte-c")}))
 	r.accept("3", nil)
-	fromOneToThree, ok := r.delta(1)
+	fromOneToThree, ok := r.encodeDelta(1)
 	require.True(t, ok)
 	atOne, err := decodeRoot(old)
 	require.NoError(t, err)
-	atTwo, err := atOne.apply(fromOne)
+	atTwo, err := atOne.applyDelta(fromOne)
 	require.NoError(t, err)
-	_, err = atTwo.apply(fromOneToThree)
-	require.ErrorIs(t, err, errNoDelta)
+	_, err = atTwo.applyDelta(fromOneToThree)
+	require.ErrorIs(t, err, errDeltaMismatch)
 
-	forgetful := *r
-	forgetful.History = nil
-	_, ok = forgetful.delta(1)
-	require.False(t, ok, "a history that does not reach back can't tell what was deleted")
+	withoutHistory := *r
+	withoutHistory.History = nil
+	_, ok = withoutHistory.encodeDelta(1)
+	require.False(t, ok, "a history that does not reach back lacks deletions")
 }
 
-// giver is a VM's peers: one that has a configuration.
-type giver struct{ cache *Cache }
+// peer implements Peers with one other VM.
+type peer struct{ cache *Cache }
 
-func (g giver) Watcher() bool { return false }
+func (g peer) Watcher() bool { return false }
 
-func (g giver) Revisions() map[string]int64 { return map[string]int64{"sender": g.cache.Revision()} }
+func (g peer) Revisions() map[string]int64 { return map[string]int64{"sender": g.cache.Revision()} }
 
-func (g giver) Fetch(_ context.Context, _ string, have int64) ([]byte, error) {
+func (g peer) Fetch(_ context.Context, _ string, have int64) ([]byte, error) {
 	return g.cache.Encoded(have), nil
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,12 +1,11 @@
-// Package config holds the operators' objects (client accounts, model versions,
-// roll-outs, data centres, endpoints, services), their labels and selectors,
-// their validation as a whole, and the one root object in the platform that
-// carries them all at a revision.
+// Package config holds the operators' objects (client accounts, model versions, roll-outs, data
+// centres, endpoints, services) with their labels and selectors, validates them as a whole, and
+// stores them in one root object in the platform, which has a revision.
 //
-// An Editor makes accepted changes, a Cache holds what is in force on a VM. The
-// verdict whether a VM may take work under it is in package staleness, which has
-// no clock and no network; package exchange carries the configuration between VMs.
+// An Editor applies changes, and a Cache holds the configuration in force on a VM. Package
+// staleness decides whether a VM may take work under its configuration; package exchange
+// transfers the configuration between VMs.
 //
-// Lock order: Cache.mu and the lock of its reports are leaves and never held
-// together; nothing but counters is called while one is held.
+// Lock order: no two of the locks in this package (Cache.mu, poller.mu) are held together, and
+// only counters are called while one is held.
 package config
--- a/config/document.go
+++ b/config/document.go
@@ -8,26 +8,26 @@
 	"github.com/tailscale/hujson"
 )
 
-// ParseDocument reads one JSON document with comments into target, a pointer to a
-// struct, as strictly as Parse: an unknown, misspelt, doubled or missing field is
-// a Problem with file, line, field and what is expected. The error is of type Problems.
+// ParseDocument decodes a JSON document with comments into target, a pointer to a struct. It is
+// as strict as Parse: an unknown, misspelt, duplicate or missing field is a Problem with file,
+// line, field and the expected value. The error is of type Problems.
 func ParseDocument(file string, data []byte, target any) error {
-	if len(data) > maxDocument {
-		return Problems{{File: file, Line: 1, Got: fmt.Sprintf("%d bytes", len(data)), Want: fmt.Sprintf("at most %d bytes", maxDocument)}}
+	if len(data) > maxDocumentBytes {
+		return Problems{{File: file, Line: 1, Got: fmt.Sprintf("%d bytes", len(data)), Want: fmt.Sprintf("at most %d bytes", maxDocumentBytes)}}
 	}
 	tree, err := hujson.Parse(data)
 	if err != nil {
 		return Problems{{File: file, Line: syntaxLine(err), Got: err.Error(), Want: "JSON with comments"}}
 	}
 	p := parser{file: file, data: data}
-	p.fields(&tree, reflect.TypeOf(target).Elem(), "", "")
+	p.checkFields(&tree, reflect.TypeOf(target).Elem(), "", "")
 	if len(p.problems) > 0 {
 		return p.problems
 	}
 	start := tree.StartOffset
 	tree.Standardize()
 	if err := json.Unmarshal(tree.Pack()[start:], target); err != nil {
-		p.mistyped(start, err)
+		p.addDecodeProblem(start, err)
 		return p.problems
 	}
 	return nil
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -19,20 +19,20 @@
 	return Change{Object: &DataCentre{Meta: Meta{Name: name}, Region: "norte", State: DataCentreIn}}
 }
 
-// lateStore is a store whose next writes seem lost and land a little later, as
-// a write stuck in a connection that was given up does.
+// lateStore reports the next writes as of unknown outcome and makes them later, like a write on
+// a connection that the client has abandoned.
 type lateStore struct {
 	*store.Store
-	mu   sync.Mutex
-	late []time.Duration
-	wait sync.WaitGroup
+	mu     sync.Mutex
+	delays []time.Duration
+	wait   sync.WaitGroup
 }
 
 func (l *lateStore) Put(ctx context.Context, key durable.Key, value []byte, ifVersion int64) (durable.Object, error) {
 	l.mu.Lock()
 	var delay time.Duration
-	if len(l.late) > 0 {
-		delay, l.late = l.late[0], l.late[1:]
+	if len(l.delays) > 0 {
+		delay, l.delays = l.delays[0], l.delays[1:]
 	}
 	l.mu.Unlock()
 	if delay == 0 {
@@ -45,9 +45,8 @@
 	return durable.Object{}, durable.ErrUnknown
 }
 
-// The reply to a change is lost. The operator must learn the change's true fate:
-// the effect took place, didn't, or takes place while the editor looks. In each
-// case the change is accepted once, at one revision.
+// The reply to a write is lost: the write took effect, did not, or takes effect during the
+// read-back. In each case the change must be accepted exactly once, at one revision.
 func TestEditorSettlesLostReplies(t *testing.T) {
 	rows := []struct {
 		name   string
@@ -64,7 +63,7 @@
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &lateStore{Store: store.New(), late: row.late}
+				s := &lateStore{Store: store.New(), delays: row.late}
 				s.SetFaults(row.faults)
 				e := Editor{Store: s}
 				revision, snapshot, err := e.Apply(t.Context(), []Change{centre("norte-a")})
@@ -82,10 +81,10 @@
 	}
 }
 
-// The reply is lost and then the platform goes down, so the fate can't be read
-// back. The answer must be "unknown", never "not accepted": the change is in the
-// platform. The same call again, after the outage, returns the first result.
-func TestEditorSaysUnknownAndRepeatSettles(t *testing.T) {
+// The reply is lost and the platform goes down, so the outcome can't be read back. The editor
+// must return UnknownError and not ErrNotAccepted, since the platform holds the change. The
+// same call after the outage must return the first result.
+func TestRepeatSettlesUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		s.SetFaults(store.Faults{LoseReplies: 1, Delay: 10 * time.Millisecond})
@@ -109,9 +108,9 @@
 	})
 }
 
-// A repeat comes after the root has forgotten the id. Making the change again
-// could undo what others did since, so the answer is "unknown".
-func TestEditorRefusesToGuessBeyondItsHistory(t *testing.T) {
+// A repeat comes after the root has dropped the change's id. Applying the change again could
+// undo later changes of others, so the editor must return UnknownError.
+func TestEditorAnswersUnknownBeyondItsHistory(t *testing.T) {
 	e := Editor{Store: store.New()}
 	for i := range historyLength + 1 {
 		_, _, err := e.ApplyOnce(t.Context(), fmt.Sprint(i), -1, []Change{centre("norte-a")})
@@ -125,7 +124,7 @@
 	require.EqualValues(t, 2, revision)
 }
 
-// Changes that have no effect say so, and the operator can trust it.
+// Changes that have no effect must return ErrNotAccepted or Problems, and the reason.
 func TestEditorRefusals(t *testing.T) {
 	withRoot := func(t *testing.T, value []byte) *store.Store {
 		s := store.New()
@@ -133,7 +132,7 @@
 		require.NoError(t, err)
 		return s
 	}
-	newer := root{Format: format + 1, Snapshot: &Snapshot{Revision: 3}}
+	newer := root{Format: formatVersion + 1, Snapshot: &Snapshot{Revision: 3}}
 	newerBytes, err := newer.encode()
 	require.NoError(t, err)
 	down := store.New()
@@ -146,7 +145,7 @@
 		{"platform down", Editor{Store: down}, durable.ErrUnavailable},
 		{"root of a newer release", Editor{Store: withRoot(t, newerBytes)}, ErrNewer},
 		{"foreign bytes in the root", Editor{Store: withRoot(t, []byte("x"))}, ErrFormat},
-		{"older backup restored", Editor{Store: store.New(), Floor: func() int64 { return 9 }}, ErrReverted},
+		{"older backup restored", Editor{Store: store.New(), HighestRevision: func() int64 { return 9 }}, ErrReverted},
 		{"minority", Editor{Store: store.New(), Gate: func(context.Context) error { return context.Canceled }}, context.Canceled},
 	}
 	for _, row := range rows {
@@ -160,12 +159,12 @@
 	_, _, err = e.Apply(t.Context(), []Change{centre("norte-a"), centre("Norte")})
 	require.IsType(t, Problems{}, err)
 	_, err = e.Store.Get(t.Context(), RootKey)
-	require.ErrorIs(t, err, durable.ErrNotFound, "half a change was written")
+	require.ErrorIs(t, err, durable.ErrNotFound, "part of the change was written")
 }
 
-// Two operators change the same object from the same state, and a third changes
-// another one meanwhile. One of the two wins; the loser gets the object as it
-// stands. The third is not disturbed.
+// Two operators change the same object from the same revision, and a third changes another
+// object. One of the two must succeed and the other must get the object as it is now; the third
+// must succeed.
 func TestRacingOperators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -193,13 +192,14 @@
 	})
 }
 
-// slowStore lets another change be accepted between its answer and the editor's reading of it.
-type slowStore struct {
+// racingStore lets another change be accepted after a read and before the caller gets its
+// result.
+type racingStore struct {
 	*store.Store
 	meanwhile func()
 }
 
-func (s *slowStore) Get(ctx context.Context, key durable.Key) (durable.Object, error) {
+func (s *racingStore) Get(ctx context.Context, key durable.Key) (durable.Object, error) {
 	o, err := s.Store.Get(ctx, key)
 	if f := s.meanwhile; f != nil {
 		s.meanwhile = nil
@@ -208,7 +208,7 @@
 	return o, err
 }
 
-func (s *slowStore) List(ctx context.Context, kind string) (durable.Listing, error) {
+func (s *racingStore) List(ctx context.Context, kind string) (durable.Listing, error) {
 	l, err := s.Store.List(ctx, kind)
 	if f := s.meanwhile; f != nil {
 		s.meanwhile = nil
@@ -217,10 +217,10 @@
 	return l, err
 }
 
-// While a cache reads the root, a change is accepted on this VM. The root it read
-// is older than what is in force, but nobody may be called out for a restored backup.
-func TestRacingChangeIsNoAlarm(t *testing.T) {
-	s := &slowStore{Store: store.New()}
+// A change is accepted on this VM while its cache reads the root. The root that was read is
+// older than the one in force, but must not be reported as a restored backup.
+func TestCacheListRacingAChangeCountsNoReversion(t *testing.T) {
+	s := &racingStore{Store: store.New()}
 	cache := NewCache(Options{Store: s})
 	s.meanwhile = func() {
 		_, _, err := NewEditor(s.Store, cache).Apply(t.Context(), []Change{centre("norte-b")})
@@ -232,11 +232,11 @@
 	require.Zero(t, testutil.ToFloat64(cache.opts.Metrics.Reverted))
 }
 
-// While an editor reads the root, this VM learns of a change that another VM made.
-// The root it read is older than what the VM has, but nothing was restored: the
-// operator's change must be tried again, not refused.
-func TestRacingChangeIsNoRestoredBackup(t *testing.T) {
-	s := &slowStore{Store: store.New()}
+// This VM learns of another VM's change while its editor reads the root. The root that was read
+// is older than the one in force, but no backup was restored: the operator's change must be
+// retried and not refused.
+func TestEditorRetriesWhenAChangeRacesItsRead(t *testing.T) {
+	s := &racingStore{Store: store.New()}
 	cache := NewCache(Options{Store: s})
 	s.meanwhile = func() {
 		other := NewEditor(s.Store, cache)
--- a/config/encode.go
+++ b/config/encode.go
@@ -11,52 +11,54 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// format is the root's layout. A VM reads a higher one, passing over fields it
-// does not know, but never edits it: it would drop those fields.
-const format = 1
-
-// historyLength is how many accepted changes the root remembers by id. At the
-// 2,200 changes a day that the users expect this is about 2.8 hours; a repeat or
-// a read-back that comes later is answered "unknown", never guessed.
+// formatVersion is the version of the root's layout. A VM reads roots with a higher version and
+// ignores the fields that it does not know, but never writes such a root, since that would lose
+// those fields.
+const formatVersion = 1
+
+// historyLength is the number of accepted changes that the root holds by id. At the 2,200
+// changes a day that the users expect, it covers about 2.8 hours. A later repeat or read-back
+// is answered "unknown".
 const historyLength = 256
 
-// maxInflated bounds the decoded root against a damaged or hostile value. It is
-// sixteen times the platform's largest value; the measured ratio is in
-// docs/design/configuration.md.
-const maxInflated = 16 << 20
+// maxDecompressed bounds the size of a decoded root, in bytes, against a damaged or hostile
+// value. It is sixteen times the platform's largest value; docs/design/configuration.md gives
+// the compression ratio.
+const maxDecompressed = 16 << 20
 
-// magic starts each encoded root, so that a foreign value is refused at once.
+// magic is the prefix of an encoded root, by which other values are refused at once.
 var magic = []byte("gcf")
 
-// ErrFormat: the bytes are no root object.
+// ErrFormat means that the bytes are not an encoded root.
 var ErrFormat = errors.New("not an encoded configuration")
 
-// accepted is one accepted change in the root's history.
-type accepted struct {
+// acceptedChange is an entry of the root's history.
+type acceptedChange struct {
 	ID       string `cbor:"1,keyasint"`
 	Revision int64  `cbor:"2,keyasint"`
-	// Removed are the objects that the change deleted.
-	Removed []ref `cbor:"3,keyasint,omitempty"`
+	// Removed lists the objects that the change deleted.
+	Removed []objectRef `cbor:"3,keyasint,omitempty"`
 }
 
-// root is the value of the one platform object that carries the configuration.
+// root is the value of the platform object that holds the whole configuration.
 type root struct {
-	Format   int        `cbor:"1,keyasint"`
-	Snapshot *Snapshot  `cbor:"2,keyasint"`
-	History  []accepted `cbor:"3,keyasint,omitempty"`
+	Format   int              `cbor:"1,keyasint"`
+	Snapshot *Snapshot        `cbor:"2,keyasint"`
+	History  []acceptedChange `cbor:"3,keyasint,omitempty"`
 }
 
-// find returns the revision at which the change was accepted.
-func (r *root) find(id string) (int64, bool) {
-	i := slices.IndexFunc(r.History, func(a accepted) bool { return a.ID == id })
+// acceptedAt returns the revision at which the change with this id was accepted, or false if
+// the history doesn't hold it.
+func (r *root) acceptedAt(id string) (int64, bool) {
+	i := slices.IndexFunc(r.History, func(a acceptedChange) bool { return a.ID == id })
 	if i < 0 {
 		return 0, false
 	}
 	return r.History[i].Revision, true
 }
 
-// covers reports whether the history reaches back to all changes after revision.
-func (r *root) covers(revision int64) bool {
+// historyCovers reports whether the history holds all changes after revision.
+func (r *root) historyCovers(revision int64) bool {
 	if r.Snapshot.Revision <= revision {
 		return true
 	}
@@ -64,14 +66,14 @@
 }
 
 // accept adds a change at the next revision.
-func (r *root) accept(id string, removed []ref) {
+func (r *root) accept(id string, removed []objectRef) {
 	r.Snapshot.Revision++
-	r.History = append(r.History, accepted{ID: id, Revision: r.Snapshot.Revision, Removed: removed})
-	r.trim()
+	r.History = append(r.History, acceptedChange{ID: id, Revision: r.Snapshot.Revision, Removed: removed})
+	r.trimHistory()
 }
 
-// trim forgets the oldest changes.
-func (r *root) trim() {
+// trimHistory removes the oldest changes beyond historyLength.
+func (r *root) trimHistory() {
 	if excess := len(r.History) - historyLength; excess > 0 {
 		r.History = slices.Delete(r.History, 0, excess)
 	}
@@ -101,30 +103,30 @@
 	if !ok {
 		return nil, ErrFormat
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxInflated+1))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressed+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrFormat, err)
 	}
-	if len(raw) > maxInflated {
-		return nil, fmt.Errorf("%w: inflates beyond %d bytes", ErrFormat, maxInflated)
+	if len(raw) > maxDecompressed {
+		return nil, fmt.Errorf("%w: inflates beyond %d bytes", ErrFormat, maxDecompressed)
 	}
 	r := new(root)
 	if err := cbor.Unmarshal(raw, r); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrFormat, err)
 	}
-	if r.Snapshot == nil || r.Snapshot.Revision < 0 || !r.Snapshot.whole() {
+	if r.Snapshot == nil || r.Snapshot.Revision < 0 || !r.Snapshot.wellFormed() {
 		return nil, fmt.Errorf("%w: incomplete", ErrFormat)
 	}
 	return r, nil
 }
 
-// whole reports that no map holds a nil object or one under another's name.
-func (s *Snapshot) whole() bool {
-	return named(s.Accounts) && named(s.Versions) && named(s.RollOuts) &&
-		named(s.DataCentres) && named(s.Endpoints) && named(s.Services)
+// wellFormed reports whether each object is non-nil and stored under its own name.
+func (s *Snapshot) wellFormed() bool {
+	return namesMatch(s.Accounts) && namesMatch(s.Versions) && namesMatch(s.RollOuts) &&
+		namesMatch(s.DataCentres) && namesMatch(s.Endpoints) && namesMatch(s.Services)
 }
 
-func named[T any, P object[T]](m map[string]P) bool {
+func namesMatch[T any, P object[T]](m map[string]P) bool {
 	for name, o := range m {
 		if o == nil || o.meta().Name != name {
 			return false
@@ -133,13 +135,13 @@
 	return true
 }
 
-// Encode packs a snapshot as the root object's value, without a history of changes.
+// Encode encodes a snapshot as the root object's value, without a history of changes.
 func Encode(s *Snapshot) ([]byte, error) {
-	r := root{Format: format, Snapshot: s}
+	r := root{Format: formatVersion, Snapshot: s}
 	return r.encode()
 }
 
-// Decode unpacks a root object's value, from the platform or from a peer.
+// Decode decodes a root object's value. The error is ErrFormat.
 func Decode(data []byte) (*Snapshot, error) {
 	r, err := decodeRoot(data)
 	if err != nil {
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -8,7 +8,7 @@
 	"goldcrestfork/standin/store"
 )
 
-// An operator's change is accepted on one VM and read on another.
+// A change is accepted on one VM and read on another.
 func Example() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -33,7 +33,7 @@
 	// Output: 1 out <nil>
 }
 
-// A misspelt field is refused with its place and what is expected.
+// A misspelt field is refused with its place and the expected field.
 func ExampleParse() {
 	_, err := config.Parse("dc.jsonc", []byte(`{
   "kind": "data-centre",
--- a/config/exchange/exchange.go
+++ b/config/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange is how VMs give each other the configuration and their
-// evidence about it, over whatever link carries a method and a body.
+// Package exchange transfers the configuration and the evidence about it between VMs, over any
+// link that carries a method and a body.
 //
 // The package has no locks.
 package exchange
@@ -18,49 +18,53 @@
 
 // The methods that a VM serves.
 const (
-	// MethodFetch takes a fetchRequest and returns an encoded configuration or delta, or nothing.
+	// MethodFetch takes a fetchRequest and returns an encoded configuration or delta, or
+	// nothing.
 	MethodFetch = "config.fetch"
-	// MethodEvidence takes nothing and returns an evidence.
+	// MethodEvidence takes no body and returns an evidence.
 	MethodEvidence = "config.evidence"
-	// MethodChanged takes a changed and returns nothing.
+	// MethodChanged takes a changedNotice and returns nothing.
 	MethodChanged = "config.changed"
 )
 
-// watchers is how many VMs of a data centre hold the platform's watch: two, so that
-// the loss of one delays no change; each further one costs the platform a waiting
-// watch and a third of a call a second.
-const watchers = 2
+// watchersPerDataCentre is the number of VMs in a data centre that hold a watch on the
+// platform. With two, the loss of one delays no change. Each further one costs the platform an
+// open watch and a third of a call a second.
+const watchersPerDataCentre = 2
 
-// VM is one row of the fleet as this VM sees it.
+// VM is another VM of the fleet.
 type VM struct {
 	ID         string
 	DataCentre string
-	// Revision is the one heard in its last heartbeat; 0 for none.
+	// Revision is the configuration revision in the VM's last heartbeat; 0 for none.
 	Revision int64
 }
 
-// Fleet is the other VMs that are thought to live.
+// Fleet lists the other VMs that are believed to be alive.
 type Fleet interface {
+	// Others returns the other VMs of the fleet, without this one.
 	Others() []VM
 }
 
-// Link calls another VM.
+// Link calls a method of another VM.
 type Link interface {
+	// Call calls a method of the VM with the body and returns the answer's body.
 	Call(ctx context.Context, vm, method string, body []byte) ([]byte, error)
 }
 
-// fetchRequest asks for what brings the caller from revision Have to the callee's.
+// fetchRequest asks for the bytes that bring the caller from revision Have to the callee's
+// revision.
 type fetchRequest struct {
 	Have int64 `cbor:"1,keyasint"`
 }
 
-// changed says which revision the caller has.
-type changed struct {
+// changedNotice carries the caller's revision.
+type changedNotice struct {
 	Revision int64 `cbor:"1,keyasint"`
 }
 
-// evidence is staleness.Evidence on the wire. An array, since all its elements must
-// be there: an age that is left out would be nought and read as the freshest proof.
+// evidence is staleness.Evidence on the wire. It is an array, so that no element can be left
+// out: an absent age would be decoded as zero, the most recent confirmation.
 type evidence struct {
 	_            struct{} `cbor:",toarray"`
 	Revision     int64
@@ -68,18 +72,18 @@
 	StoreFailing bool
 }
 
-// Options of an exchange.
+// Options configure an Exchange.
 type Options struct {
-	// Self and DataCentre name this VM and where it is.
+	// Self and DataCentre are the names of this VM and of its data centre.
 	Self       string
 	DataCentre string
 	Fleet      Fleet
 	Link       Link
-	// Rank orders ids by rendezvous with a key, the same on all VMs.
+	// Rank orders ids by rendezvous hashing with a key. The order is the same on all VMs.
 	Rank func(key string, ids []string) []string
 }
 
-// Exchange is the other VMs as a cache sees them.
+// Exchange implements config.Peers and config.Contacts over a Link.
 type Exchange struct{ Options }
 
 var (
@@ -87,17 +91,17 @@
 	_ config.Contacts = (*Exchange)(nil)
 )
 
-// New returns the exchange of one VM.
+// New returns the Exchange of one VM.
 func New(o Options) *Exchange { return &Exchange{o} }
 
-// Watcher implements config.Peers. VMs that see different fleets may for a while
-// make one or three watchers of a data centre, which costs calls and loses nothing.
+// Watcher implements config.Peers. While VMs see different fleets, a data centre may have more
+// or fewer watchers than two, which costs calls but loses no change.
 func (e *Exchange) Watcher() bool {
-	return e.watchersOf(e.DataCentre, e.Fleet.Others())[e.Self]
+	return e.rankedWatchers(e.DataCentre, e.Fleet.Others())[e.Self]
 }
 
-// watchersOf names the watchers of a data centre.
-func (e *Exchange) watchersOf(dataCentre string, others []VM) map[string]bool {
+// rankedWatchers returns the ids of the watchers of a data centre.
+func (e *Exchange) rankedWatchers(dataCentre string, others []VM) map[string]bool {
 	var ids []string
 	if dataCentre == e.DataCentre {
 		ids = append(ids, e.Self)
@@ -108,8 +112,8 @@
 		}
 	}
 	ranked := e.Rank("configuration-watch/"+dataCentre, ids)
-	chosen := make(map[string]bool, watchers)
-	for _, id := range ranked[:min(watchers, len(ranked))] {
+	chosen := make(map[string]bool, watchersPerDataCentre)
+	for _, id := range ranked[:min(watchersPerDataCentre, len(ranked))] {
 		chosen[id] = true
 	}
 	return chosen
@@ -124,11 +128,11 @@
 	return revisions
 }
 
-// Members implements config.Contacts. Watchers are marked in this VM's own data
-// centre only, where they are asked first.
+// Members implements config.Contacts. Watchers are marked only in this VM's own data centre,
+// where they are asked first.
 func (e *Exchange) Members() []config.Member {
 	others := e.Fleet.Others()
-	chosen := e.watchersOf(e.DataCentre, others)
+	chosen := e.rankedWatchers(e.DataCentre, others)
 	members := make([]config.Member, len(others))
 	for i, vm := range others {
 		members[i] = config.Member{VM: vm.ID, DataCentre: vm.DataCentre, Watcher: chosen[vm.ID]}
@@ -155,16 +159,16 @@
 	if err := cbor.Unmarshal(body, &answer); err != nil {
 		return staleness.Evidence{}, fmt.Errorf("evidence of %s: %w", vm, err)
 	}
-	// An age below "never" would date a proof into the future.
+	// With an age below Never, the confirmation would lie in the future.
 	if answer.Revision < 0 || answer.ConfirmedAge < staleness.Never {
 		return staleness.Evidence{}, fmt.Errorf("evidence of %s: %w", vm, ErrMalformed)
 	}
 	return staleness.Evidence{Revision: answer.Revision, ConfirmedAge: answer.ConfirmedAge, StoreFailing: answer.StoreFailing}, nil
 }
 
-// Tell implements config.Contacts.
-func (e *Exchange) Tell(ctx context.Context, vm string, revision int64) error {
-	body, err := cbor.Marshal(changed{Revision: revision})
+// Notify implements config.Contacts.
+func (e *Exchange) Notify(ctx context.Context, vm string, revision int64) error {
+	body, err := cbor.Marshal(changedNotice{Revision: revision})
 	if err != nil {
 		return err
 	}
@@ -172,20 +176,24 @@
 	return err
 }
 
-// ErrMalformed: a peer sent what no VM sends.
+// ErrMalformed means that a peer's message can't be decoded or has a value out of range.
 var ErrMalformed = errors.New("malformed message")
 
-// Cache is the part of config.Cache that answers others.
+// Cache is the part of config.Cache that the handlers use.
 type Cache interface {
+	// Encoded returns the bytes that bring a VM from revision have to the one in force, or nil.
 	Encoded(have int64) []byte
+	// Evidence returns this VM's evidence at the time now.
 	Evidence(now time.Time) staleness.Evidence
+	// Hint records that a VM has a revision.
 	Hint(vm string, revision int64)
 }
 
-// Handler answers one method.
+// Handler answers the calls of one method. from is the calling VM.
 type Handler func(ctx context.Context, from string, body []byte) ([]byte, error)
 
-// Handlers answers the other VMs from a cache; register them at the link by method.
+// Handlers returns the handlers, by method, that answer other VMs from the cache. The caller
+// registers them at its link.
 func Handlers(cache Cache) map[string]Handler {
 	return map[string]Handler{
 		MethodFetch: func(_ context.Context, _ string, body []byte) ([]byte, error) {
@@ -196,7 +204,7 @@
 			return cache.Encoded(r.Have), nil
 		},
 		MethodChanged: func(_ context.Context, from string, body []byte) ([]byte, error) {
-			var c changed
+			var c changedNotice
 			if err := cbor.Unmarshal(body, &c); err != nil {
 				return nil, ErrMalformed
 			}
--- a/config/exchange/exchange_test.go
+++ b/config/exchange/exchange_test.go
@@ -17,14 +17,14 @@
 	"goldcrestfork/standin/store"
 )
 
-// network carries calls between caches, in memory and through the messages' bytes.
+// network connects caches in memory. Calls pass the encoded messages.
 type network struct {
 	vms     []exchange.VM
 	caches  map[string]*config.Cache
 	damaged func(method string, body []byte) []byte
 }
 
-// view is the network as one VM sees it.
+// view is one VM's side of the network. It implements exchange.Fleet and exchange.Link.
 type view struct {
 	*network
 	self string
@@ -53,7 +53,7 @@
 	return answer, err
 }
 
-// backwards ranks ids by name, the last first.
+// backwards ranks ids in descending order.
 func backwards(_ string, ids []string) []string {
 	slices.Sort(ids)
 	slices.Reverse(ids)
@@ -75,8 +75,8 @@
 	return net, exchanges
 }
 
-// A change is accepted on a VM that watches nothing. It reaches the others over
-// the messages of this package; two of the four hold the platform's watch.
+// A change that is accepted on a VM without a watch must reach all others over the messages of
+// this package. Exactly two of the four VMs must be watchers.
 func TestExchangeCarriesAChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -105,18 +105,19 @@
 	})
 }
 
-// A peer's answer is damaged. It must count as no answer: no proof, no configuration.
+// A peer's damaged answer must return an error, so that it neither confirms a configuration nor
+// replaces one.
 func TestExchangeRefusesDamagedAnswers(t *testing.T) {
 	net, exchanges := newNetwork(store.New(), 2)
 	x := exchanges["vm-0"]
 	rows := map[string][]byte{
-		"empty":                 nil,
-		"no CBOR":               {0xff},
-		"another type":          {0x60},
-		"an empty map":          {0xa0},
-		"age left out":          {0x81, 0x01},
-		"proof of the future":   {0x83, 0x01, 0x39, 0x03, 0xe7, 0xf4},
-		"revision below nought": {0x83, 0x20, 0x00, 0xf4},
+		"empty":                      nil,
+		"no CBOR":                    {0xff},
+		"another type":               {0x60},
+		"an empty map":               {0xa0},
+		"age left out":               {0x81, 0x01},
+		"confirmation in the future": {0x83, 0x01, 0x39, 0x03, 0xe7, 0xf4},
+		"negative revision":          {0x83, 0x20, 0x00, 0xf4},
 	}
 	for name, answer := range rows {
 		net.damaged = func(string, []byte) []byte { return answer }
--- a/config/fields.go
+++ b/config/fields.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// field is one field as operators write it.
+// field describes a field of an object's JSON.
 type field struct {
 	kind reflect.Type
-	// required: no default stands for it, so a forgotten one is refused.
+	// required fields have no default, so an object without them is refused.
 	required bool
 }
 
-// fieldsOf lists a struct's JSON fields; embedded structs count as their fields.
+// fieldsOf returns a struct's JSON fields by name, including those of embedded structs.
 func fieldsOf(t reflect.Type) map[string]field {
 	known := make(map[string]field)
 	for i := range t.NumField() {
@@ -30,18 +30,19 @@
 	return known
 }
 
-// expected names the field that was probably meant, else all of them.
-func expected(known map[string]field, name string) string {
+// suggestField names the field that was probably meant, or lists all fields.
+func suggestField(known map[string]field, name string) string {
 	for _, candidate := range slices.Sorted(maps.Keys(known)) {
-		if strings.EqualFold(candidate, name) || near(candidate, name) {
+		if strings.EqualFold(candidate, name) || withinOneEdit(candidate, name) {
 			return fmt.Sprintf("the field %q", candidate)
 		}
 	}
 	return "one of " + strings.Join(slices.Sorted(maps.Keys(known)), ", ")
 }
 
-// near reports that one edit (a letter more, less, other, or two swapped) parts a from b.
-func near(a, b string) bool {
+// withinOneEdit reports whether a and b differ by at most one edit: a letter inserted, deleted
+// or replaced, or two adjacent letters swapped.
+func withinOneEdit(a, b string) bool {
 	if len(a) < len(b) {
 		a, b = b, a
 	}
@@ -64,7 +65,7 @@
 	return len(restA) >= 2 && restA[0] == restB[1] && restA[1] == restB[0] && restA[2:] == restB[2:]
 }
 
-// describeType says in words what a field takes.
+// describeType describes the values that a field takes, for messages.
 func describeType(t reflect.Type) string {
 	if t == reflect.TypeFor[Class]() {
 		return "one of " + strings.Join(classNames, ", ")
@@ -86,8 +87,8 @@
 	return t.String()
 }
 
-// join lists texts for a message.
-func join[S ~string](items []S) string {
+// joinTexts joins texts with commas.
+func joinTexts[S ~string](items []S) string {
 	texts := make([]string, len(items))
 	for i, item := range items {
 		texts[i] = string(item)
--- a/config/help_test.go
+++ b/config/help_test.go
@@ -7,8 +7,9 @@
 	"math/rand/v2"
 )
 
-// small returns a valid configuration that each test spoils in its own way.
-func small() *Snapshot {
+// smallSnapshot returns a valid configuration with objects of all kinds, which tests then
+// modify.
+func smallSnapshot() *Snapshot {
 	s := &Snapshot{}
 	s.put(&DataCentre{Meta: Meta{Name: "norte-a"}, Region: "norte", State: DataCentreIn})
 	s.put(&ModelVersion{Meta: Meta{Name: "asistente-1", Labels: map[string]string{"model": "asistente"}}, Model: "asistente", State: VersionServing, Quality: 0.7})
@@ -25,13 +26,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// sizeSeed fixes the labels of the measured configurations.
-const sizeSeed = 11
+// labelSeed seeds the labels of the configurations for measurements.
+const labelSeed = 11
 
-// sized returns a configuration with so many endpoints, and versions, data
-// centres and accounts in the proportions of the users' letter.
-func sized(endpoints int) *Snapshot {
-	rng := rand.New(rand.NewPCG(sizeSeed, 0))
+// sizedSnapshot returns a configuration with this number of endpoints, and with model versions,
+// data centres and accounts in the proportions of the expected deployment.
+func sizedSnapshot(endpoints int) *Snapshot {
+	rng := rand.New(rand.NewPCG(labelSeed, 0))
 	s := &Snapshot{}
 	versions, centres, accounts := max(1, endpoints*19/2000), max(1, endpoints*19/2000), max(1, endpoints*300/2000)
 	for i := range centres {
--- a/config/kinds.go
+++ b/config/kinds.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Object is any operator object: a pointer to one of the types of this package.
+// Object is an operator object: a pointer to one of the object types of this package.
 type Object interface {
 	meta() *Meta
 }
@@ -20,7 +20,7 @@
 // Kinds lists the kinds in the order in which they are shown and checked.
 var Kinds = []Kind{KindDataCentre, KindVersion, KindService, KindEndpoint, KindRollOut, KindAccount}
 
-// New returns an empty object of the kind, or nil for a kind that does not exist.
+// New returns an empty object of the kind, or nil for an unknown kind.
 func New(kind Kind) Object {
 	switch kind {
 	case KindAccount:
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// KindOf names the kind of an object.
+// KindOf returns the kind of an object.
 func KindOf(o Object) Kind {
 	switch o.(type) {
 	case *ClientAccount:
@@ -61,7 +61,8 @@
 // MetaOf returns the object's name, labels and revision.
 func MetaOf(o Object) Meta { return *o.meta() }
 
-// Clone copies an object deeply, so that a published one is never changed.
+// Clone returns a deep copy of an object. Changes are made on copies, since published objects are
+// immutable.
 func Clone(o Object) Object {
 	data, err := cbor.Marshal(o)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return c
 }
 
-// Marshal writes an object as Parse reads it, with its kind.
+// Marshal encodes an object with its kind as JSON that Parse reads.
 func Marshal(o Object) ([]byte, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return fmt.Appendf(nil, `{"kind":%q,%s`, KindOf(o), body[1:]), nil
 }
 
-// Get returns one object, or nil.
+// Get returns the object of this kind and name, or nil if there is none.
 func (s *Snapshot) Get(kind Kind, name string) Object {
 	switch kind {
 	case KindAccount:
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// List returns the objects of a kind by name; with a selector, those that it matches.
+// List returns the objects of a kind sorted by name. With a selector, it returns only those
+// that match.
 func (s *Snapshot) List(kind Kind, selector Selector) []Object {
 	all := s.unsorted(kind)
 	slices.SortFunc(all, func(a, b Object) int { return cmp.Compare(a.meta().Name, b.meta().Name) })
@@ -112,7 +114,7 @@
 	return slices.DeleteFunc(all, func(o Object) bool { return !selector.Matches(o.meta().Labels) })
 }
 
-// unsorted lists the objects of a kind in no order.
+// unsorted returns the objects of a kind in no particular order.
 func (s *Snapshot) unsorted(kind Kind) []Object {
 	switch kind {
 	case KindAccount:
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// put stores an object. Only an editor calls it, on a snapshot that is not published yet.
+// put stores an object in a snapshot that is not published yet.
 func (s *Snapshot) put(o Object) {
 	name := o.meta().Name
 	switch o := o.(type) {
@@ -167,7 +169,7 @@
 	}
 }
 
-// object is a pointer to T that is an Object.
+// object is the constraint for pointers to T that implement Object.
 type object[T any] interface {
 	*T
 	Object
@@ -195,7 +197,8 @@
 	(*m)[name] = o
 }
 
-// ParseSelector reads "key=a|b,other=c"; the empty text gives the empty selector.
+// ParseSelector parses a selector such as "key=a|b,other=c". The empty text gives the empty
+// selector. The error is of type Problems.
 func ParseSelector(text string) (Selector, error) {
 	if text == "" {
 		return nil, nil
@@ -211,10 +214,10 @@
 	return s, nil
 }
 
-// classNames are the texts of the priority classes.
+// classNames are the names of the priority classes, in the order of their values.
 var classNames = []string{"immediate", "interactive", "deferrable"}
 
-// String gives the class as operators write it.
+// String returns the class's name, or "class(N)" for an unknown class.
 func (c Class) String() string {
 	if c < 0 || int(c) >= len(classNames) {
 		return fmt.Sprintf("class(%d)", int(c))
@@ -222,10 +225,10 @@
 	return classNames[c]
 }
 
-// MarshalText writes the class by name in JSON.
+// MarshalText encodes the class by name.
 func (c Class) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
-// UnmarshalText reads the class by name in JSON.
+// UnmarshalText decodes the class by name.
 func (c *Class) UnmarshalText(text []byte) error {
 	i := slices.Index(classNames, string(text))
 	if i < 0 {
@@ -235,8 +238,8 @@
 	return nil
 }
 
-// byKind orders problems for reading.
-func byKind(a, b Problem) int {
+// compareProblems orders problems by kind, name and field.
+func compareProblems(a, b Problem) int {
 	return cmp.Or(
 		cmp.Compare(slices.Index(Kinds, a.Kind), slices.Index(Kinds, b.Kind)),
 		cmp.Compare(a.Name, b.Name),
--- a/config/objects.go
+++ b/config/objects.go
@@ -1,9 +1,9 @@
 package config
 
-// Kind names a kind of operator object.
+// Kind is the kind of an operator object.
 type Kind string
 
-// The kinds of objects operators keep.
+// The kinds of operator objects.
 const (
 	KindAccount    Kind = "client-account"
 	KindVersion    Kind = "model-version"
@@ -13,19 +13,19 @@
 	KindService    Kind = "service"
 )
 
-// Meta is common to all objects.
+// Meta holds the fields that all objects have.
 type Meta struct {
 	// Name is unique within the kind: lower-case letters, digits, '-' and '.', at most 63 bytes.
 	Name string `json:"name"`
-	// Labels are what selectors match.
+	// Labels are matched by selectors.
 	Labels map[string]string `json:"labels,omitempty"`
-	// Revision is the configuration revision that last changed the object; set by the system.
+	// Revision is the configuration revision that last changed the object. The system sets it.
 	Revision int64 `json:"revision,omitempty"`
 }
 
-// Selector matches an object whose labels carry, for every key of the selector,
-// one of the values listed for that key. The empty selector matches nothing, so
-// that a forgotten selector never grants anything.
+// Selector matches an object if, for every key of the selector, the object's label has one of
+// the listed values. The empty selector matches nothing, so that a missing selector grants
+// nothing.
 type Selector map[string][]string
 
 // Class is the priority class of a request; a lower number is served first.
@@ -33,30 +33,36 @@
 
 // The priority classes.
 const (
-	// ClassImmediate cannot wait: a till lookup with a customer at the counter.
+	// ClassImmediate is for requests that can't wait, such as a till lookup with a customer at
+	// the counter.
 	ClassImmediate Class = iota
-	// ClassInteractive is somebody reading along.
+	// ClassInteractive is for requests whose answer a person reads as it arrives.
 	ClassInteractive
-	// ClassDeferrable may wait until its deadline: weekly summaries, growth reports.
+	// ClassDeferrable is for requests that may wait until their deadline, such as weekly
+	// summaries and growth reports.
 	ClassDeferrable
 )
 
-// ClientAccount is one caller's account.
+// ClientAccount is a caller's account.
 type ClientAccount struct {
 	Meta
-	// KeyHashes are the hex SHA-256 sums of the account's API keys; several while a key is changed.
+	// KeyHashes are the hex SHA-256 sums of the account's API keys. There are several while a
+	// key is being replaced.
 	KeyHashes []string `json:"keyHashes"`
-	// Weight is the account's share of a full pool relative to the others. Default 1.
+	// Weight is the account's share of a pool at capacity relative to other accounts. The
+	// default is 1.
 	Weight float64 `json:"weight,omitempty"`
-	// Class is given to requests that name none; a request may ask for a lower class, never for a higher one.
+	// Class is the class of requests that name none. A request may ask for a lower class, but
+	// not for a higher one.
 	Class Class `json:"class"`
-	// Versions selects the model versions the account may use.
+	// Versions selects the model versions that the account may use.
 	Versions Selector `json:"versions,omitempty"`
-	// Services selects the plain services the account may call.
+	// Services selects the plain services that the account may call.
 	Services Selector `json:"services,omitempty"`
-	// Quality is the quality target of cascades, 0..1; 0 takes the version asked for as it is.
+	// Quality is the quality target of cascades, 0 to 1; 0 uses the requested version only.
 	Quality float64 `json:"quality,omitempty"`
-	// SpendCap bounds what one request may cost over all its cascade steps, in micro-units; 0 means no cap.
+	// SpendCap limits the cost of one request over all its cascade steps, in micro-units; 0
+	// means no limit.
 	SpendCap int64 `json:"spendCap,omitempty"`
 }
 
@@ -65,31 +71,33 @@
 
 // The states of a model version.
 const (
-	// VersionServing takes work.
+	// VersionServing means that the version takes work.
 	VersionServing VersionState = "serving"
-	// VersionWithdrawn gets no new work, sessions included.
+	// VersionWithdrawn means that the version gets no new work, not even in sessions.
 	VersionWithdrawn VersionState = "withdrawn"
 )
 
-// ModelVersion is one version of one model.
+// ModelVersion is a version of a model.
 type ModelVersion struct {
 	Meta
-	// Model is the name that callers ask for; several versions share it.
+	// Model is the name that callers request. Several versions share it.
 	Model string `json:"model"`
 	// State is serving or withdrawn.
 	State VersionState `json:"state"`
 	// Cost is the price of 1000 output tokens in micro-units.
 	Cost int64 `json:"cost"`
-	// Quality is the expected rating, 0..1, used to order a cascade.
+	// Quality is the expected rating, 0 to 1. It determines the order of cascades.
 	Quality float64 `json:"quality"`
-	// Cascade names the next better model version to escalate to; empty for none.
+	// Cascade is the name of the next better model version, to which requests escalate; empty
+	// for none.
 	Cascade string `json:"cascade,omitempty"`
 }
 
-// RollOutState is where a roll-out stands.
+// RollOutState is the state of a roll-out.
 type RollOutState string
 
-// The states of a roll-out.
+// The states of a roll-out. New work goes to both versions while it is running or paused, to
+// From after a roll-back, and to To once it is done.
 const (
 	RollOutRunning    RollOutState = "running"
 	RollOutPaused     RollOutState = "paused"
@@ -102,20 +110,20 @@
 	Meta
 	// Model is the model that is rolled out.
 	Model string `json:"model"`
-	// From and To are names of model versions of that model.
+	// From and To are the names of model versions of that model.
 	From string `json:"from"`
 	To   string `json:"to"`
 	// Steps are the shares of new work that To gets, in percent, ascending; the last is 100.
 	Steps []float64 `json:"steps"`
-	// Step is the index into Steps in force.
+	// Step is the index of the present step in Steps.
 	Step int `json:"step"`
 	// State is running, paused, rolled-back or done.
 	State RollOutState `json:"state"`
-	// Reason tells why the state was last changed.
+	// Reason says why the state last changed.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Share returns the share of new work, 0..1, that To gets now.
+// Share returns the share of new work that To gets at present, 0 to 1.
 func (r *RollOut) Share() float64 {
 	switch {
 	case r.State == RollOutRolledBack || len(r.Steps) == 0:
@@ -131,18 +139,18 @@
 // DataCentreState says whether a data centre takes work.
 type DataCentreState string
 
-// The states of a data centre.
+// The states of a data centre. A data centre that is out gets no new work.
 const (
 	DataCentreIn  DataCentreState = "in"
 	DataCentreOut DataCentreState = "out"
 )
 
-// DataCentre is one place with endpoints and VMs.
+// DataCentre is a site with endpoints and VMs.
 type DataCentre struct {
 	Meta
-	// Region groups data centres that are close together.
+	// Region groups data centres that are close to each other.
 	Region string `json:"region"`
-	// State is in or out; out gets no new work.
+	// State is in or out. A data centre that is out gets no new work.
 	State DataCentreState `json:"state"`
 }
 
@@ -155,46 +163,48 @@
 	EndpointLeaving EndpointState = "leaving"
 )
 
-// Endpoint is one back end: a model engine's runner or an instance of a plain service.
+// Endpoint is one back end: a runner of a model engine or an instance of a plain service.
 type Endpoint struct {
 	Meta
-	// Address is "ip:port".
+	// Address is the endpoint's IP address and port, "ip:port".
 	Address string `json:"address"`
-	// DataCentre names the data centre the endpoint is in.
+	// DataCentre is the name of the endpoint's data centre.
 	DataCentre string `json:"dataCentre"`
-	// Versions are the model versions it may serve; empty for a plain service's endpoint.
+	// Versions are the names of the model versions that the endpoint may serve; empty for a
+	// plain service.
 	Versions []string `json:"versions,omitempty"`
-	// Service names the plain service it belongs to; empty for a model engine.
+	// Service is the name of the endpoint's plain service; empty for a model engine.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests it bears at once when warm.
+	// Slots is the number of concurrent requests that a warm endpoint takes.
 	Slots int `json:"slots"`
-	// ColdSlots is how many requests it bears at once in cold start, over all VMs together.
+	// ColdSlots is the number of concurrent requests that the endpoint takes in cold start, from
+	// all VMs together.
 	ColdSlots int `json:"coldSlots"`
-	// Fenced says that it refuses an order with an old fencing number.
+	// Fenced says that the endpoint refuses orders with an old fencing number.
 	Fenced bool `json:"fenced,omitempty"`
 	// State is serving or leaving.
 	State EndpointState `json:"state"`
 }
 
-// Call is one call of a plain service.
+// Call is a call of a plain service.
 type Call struct {
-	// Method and Path identify the call; a path that ends in '/' covers all below it.
+	// Method and Path identify the call. A path that ends in '/' covers all paths below it.
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Idempotent calls may be repeated after a failure; the others run at most once.
+	// Idempotent calls may be repeated after a failure; other calls run at most once.
 	Idempotent bool `json:"idempotent"`
 }
 
-// Service is one plain service beside the model engines.
+// Service is a plain service, which runs beside the model engines.
 type Service struct {
 	Meta
-	// Calls are the calls it takes; one that is not listed is refused.
+	// Calls are the calls that the service takes. Other calls are refused.
 	Calls []Call `json:"calls"`
 }
 
-// Snapshot is the whole configuration at one revision. It is never changed once published.
+// Snapshot is the whole configuration at one revision. It is immutable once published.
 type Snapshot struct {
-	// Revision counts accepted changes; zero is the empty configuration.
+	// Revision is the number of accepted changes. The empty configuration has revision zero.
 	Revision    int64                     `json:"revision"`
 	Accounts    map[string]*ClientAccount `json:"clientAccounts,omitempty"`
 	Versions    map[string]*ModelVersion  `json:"modelVersions,omitempty"`
--- a/config/pages_test.go
+++ b/config/pages_test.go
@@ -9,15 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// page reads one of the operators' pages.
+// page returns the text of a page of the operators' manual.
 func page(t *testing.T, name string) string {
 	text, err := os.ReadFile("../docs/operators/" + name)
 	require.NoError(t, err)
 	return string(text)
 }
 
-// A field or metric that the operators' pages leave out can't be relied on by
-// those who are on call.
+// Operators need each field of an object and each metric to be documented.
 func TestPagesNameEveryFieldAndMetric(t *testing.T) {
 	objects := page(t, "objects.md")
 	for _, kind := range Kinds {
--- a/config/proof.go
+++ b/config/proof.go
@@ -7,39 +7,39 @@
 	"goldcrestfork/config/staleness"
 )
 
-// confirm notes a successful call to the platform that began at start and showed
+// recordConfirmation records a successful call to the platform that began at start and showed
 // that no root newer than the one in force existed then.
-func (c *Cache) confirm(start time.Time) {
+func (c *Cache) recordConfirmation(start time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failing = false
-	if start.After(c.confirmed) {
-		c.confirmed = start
+	c.storeFailing = false
+	if start.After(c.ownConfirmedAt) {
+		c.ownConfirmedAt = start
 	}
 }
 
-// failed notes a call to the platform that failed.
-func (c *Cache) failed() {
+// recordFailure records a failed call to the platform.
+func (c *Cache) recordFailure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failing = true
+	c.storeFailing = true
 	c.opts.Metrics.StoreErrors.Inc()
 }
 
-// Evidence is what this VM answers to another that asks; its proof may be one that
-// a third VM gave, which only adds to its age.
+// Evidence returns what this VM reports to others about its configuration. The confirmation may
+// come from a third VM, whose answer's age is included.
 func (c *Cache) Evidence(now time.Time) staleness.Evidence {
 	v := c.view(now)
 	e := staleness.Evidence{Revision: v.Revision, StoreFailing: v.StoreFailing, ConfirmedAge: staleness.Never}
-	// One view for both: a proof for a later revision beside this one would make a
-	// peer believe that this one is current.
-	if d := staleness.Judge(v, now); !d.Confirmed.IsZero() {
+	// The revision and the age come from one view. With the confirmation of a later revision,
+	// the other VM would take this one for current.
+	if d := staleness.Decide(v, now); !d.Confirmed.IsZero() {
 		e.ConfirmedAge = d.Age(now)
 	}
 	return e
 }
 
-// view is what the verdicts are made from.
+// view collects the input of the staleness decisions.
 func (c *Cache) view(now time.Time) staleness.View {
 	v := staleness.View{DataCentre: c.opts.DataCentre}
 	if c.opts.VMs != nil {
@@ -47,58 +47,60 @@
 	} else {
 		v.VMs = map[string]int{c.opts.DataCentre: 1}
 	}
-	v.Reports = c.inquiry.recent(now)
+	v.Reports = c.poller.recentReports(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v.Revision, v.Confirmed, v.StoreFailing = c.Revision(), c.confirmed, c.failing
+	v.Revision, v.Confirmed, v.StoreFailing = c.Revision(), c.ownConfirmedAt, c.storeFailing
 	return v
 }
 
-// Staleness judges whether this VM may take new work under the configuration it
-// has. It is asked for each request, so a proof that is young enough settles it
-// without a look at the fleet.
+// Staleness decides whether this VM may take new work under its configuration. It runs for each
+// request, so it returns at once if the kept confirmation is recent enough, without a look at
+// the fleet.
 func (c *Cache) Staleness(now time.Time) staleness.Decision {
 	c.mu.Lock()
-	proof := c.proof
+	confirmedAt := c.confirmedAt
 	c.mu.Unlock()
-	if !proof.IsZero() && now.Sub(proof) <= staleness.Bound {
-		return staleness.Decision{Verdict: staleness.Fresh, Confirmed: proof, Reason: "proved current"}
+	if !confirmedAt.IsZero() && now.Sub(confirmedAt) <= staleness.Bound {
+		return staleness.Decision{Verdict: staleness.Fresh, Confirmed: confirmedAt, Reason: "proved current"}
 	}
-	return c.judge(now)
+	return c.evaluate(now)
 }
 
-// judge gives the verdict by all that is known, and keeps its proof.
-func (c *Cache) judge(now time.Time) staleness.Decision {
-	d := staleness.Judge(c.view(now), now)
+// evaluate decides from all evidence, keeps the confirmation and records a change of the
+// verdict.
+func (c *Cache) evaluate(now time.Time) staleness.Decision {
+	d := staleness.Decide(c.view(now), now)
 	c.mu.Lock()
-	if d.Confirmed.After(c.proof) {
-		c.proof = d.Confirmed
+	if d.Confirmed.After(c.confirmedAt) {
+		c.confirmedAt = d.Confirmed
 	}
 	changed := d.Verdict != c.verdict
 	c.verdict = d.Verdict
 	c.mu.Unlock()
 	if changed {
 		c.opts.Metrics.Verdicts.WithLabelValues(string(d.Verdict)).Inc()
-		c.opts.Log.Info().Str("verdict", string(d.Verdict)).Str("reason", d.Reason).Bool("takesWork", d.TakesWork()).Msg("configuration's staleness judged anew")
+		c.opts.Log.Info().Str("verdict", string(d.Verdict)).Str("reason", d.Reason).Bool("takesWork", d.TakesWork()).Msg("configuration staleness verdict changed")
 	}
 	return d
 }
 
-// MayAccept judges whether this VM may accept a change: it must reach so many
-// data centres that none can go on under the old configuration unaware. It asks
-// them, which takes a round trip.
+// MayAccept returns nil if this VM may accept a change: it must reach so many data centres that
+// no VM can go on under the old configuration without learning of the change. It asks the data
+// centres first, which takes a round trip. The error is staleness.ErrMinority.
 func (c *Cache) MayAccept(ctx context.Context) error {
 	if c.opts.Contacts != nil {
-		c.inquiry.round(ctx)
+		c.poller.askDataCentres(ctx)
 	}
 	now := time.Now()
 	return staleness.MayAccept(c.view(now), now)
 }
 
-// held returns the root in force here, and whether a VM that was asked lately has a later one.
-func (c *Cache) held() (*root, bool) {
+// rootInForce returns the root in force and whether a recent report of another VM has a later
+// revision.
+func (c *Cache) rootInForce() (*root, bool) {
 	r := c.current.Load().root
-	for _, report := range c.inquiry.recent(time.Now()) {
+	for _, report := range c.poller.recentReports(time.Now()) {
 		if report.Revision > r.Snapshot.Revision {
 			return r, true
 		}
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -16,15 +16,15 @@
 	"goldcrestfork/standin/store"
 )
 
-// event is one step of a random schedule: an editor's change or a fault, then a pause.
-type event struct {
+// scheduleStep is one step of a random schedule: an operator's change or a fault, then a pause.
+type scheduleStep struct {
 	VM    int
 	What  string
 	Pause time.Duration
 }
 
-var events = rapid.Custom(func(t *rapid.T) event {
-	return event{
+var events = rapid.Custom(func(t *rapid.T) scheduleStep {
+	return scheduleStep{
 		VM: rapid.IntRange(0, 3).Draw(t, "vm"),
 		What: rapid.SampledFrom([]string{"change", "change", "change", "change", "count", "count", "lose", "refuse", "late",
 			"down", "up", "history", "slow", "cut", "storecut", "heal", "stale"}).Draw(t, "what"),
@@ -32,7 +32,7 @@
 	}
 })
 
-// result is one change as its operator saw it.
+// result is the outcome of a change that its operator received.
 type result struct {
 	id       string
 	change   Change
@@ -40,43 +40,42 @@
 	err      error
 }
 
-// history runs a schedule and gathers what operators were told and what VMs had in force.
-type history struct {
+// scheduleRun runs a schedule and collects the results of changes and the violated properties.
+type scheduleRun struct {
 	fleet *fleet
 	late  *lateStore
 
-	mu      sync.Mutex
-	results []result
-	broken  []string
+	mu         sync.Mutex
+	results    []result
+	violations []string
 }
 
-func (h *history) breach(format string, args ...any) {
+func (h *scheduleRun) addViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.broken = append(h.broken, fmt.Sprintf(format, args...))
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// Several operators make changes on any VM while replies are lost, writes land
-// late, the platform goes down, watches lose their history, VMs are cut and peers
-// give old configurations. Afterwards: each accepted change is there at the
-// revision its operator was told, none that was refused is, an unknown one is
-// settled by a repeat, and no VM ever went back.
+// Random schedules of changes on any VM, with lost replies, late writes, outages, lost watch
+// history, isolated VMs and stale configurations from peers. Afterwards each accepted change,
+// and no refused one, must be in force at its operator's revision, a repeat must settle each
+// unknown one, and no VM's revision may ever decrease.
 func TestNoAcceptedChangeIsLostAndNoVMGoesBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		schedule := rapid.SliceOfN(events, 5, 30).Draw(rt, "schedule")
-		var broken []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
-			h := &history{late: &lateStore{Store: store.New()}}
+			h := &scheduleRun{late: &lateStore{Store: store.New()}}
 			h.fleet = newFleet(h.late.Store, 4)
-			broken = h.run(t, schedule)
+			violations = h.run(t, schedule)
 		})
-		if len(broken) > 0 {
-			rt.Fatalf("%v", broken)
+		if len(violations) > 0 {
+			rt.Fatalf("%v", violations)
 		}
 	})
 }
 
-func (h *history) run(t *testing.T, schedule []event) []string {
+func (h *scheduleRun) run(t *testing.T, schedule []scheduleStep) []string {
 	ctx, cancel := context.WithCancel(t.Context())
 	var background, changes sync.WaitGroup
 	for _, v := range h.fleet.vms {
@@ -84,7 +83,7 @@
 		background.Go(func() { v.cache.Run(ctx) })
 		background.Go(func() { h.observe(ctx, v) })
 	}
-	settle(time.Second)
+	advance(time.Second)
 	for i, e := range schedule {
 		h.step(i, e, &changes)
 		time.Sleep(e.Pause)
@@ -92,25 +91,25 @@
 	changes.Wait()
 	h.late.wait.Wait()
 	h.heal()
-	settle(20 * time.Second)
-	h.judge()
+	advance(20 * time.Second)
+	h.checkResults()
 	cancel()
 	background.Wait()
-	return h.broken
+	return h.violations
 }
 
-// observe checks every publication on a VM.
-func (h *history) observe(ctx context.Context, v *vm) {
+// observe checks that the revisions published on a VM never decrease.
+func (h *scheduleRun) observe(ctx context.Context, v *vm) {
 	last := int64(0)
 	v.cache.Subscribe(ctx, func(s *Snapshot) {
 		if s.Revision < last {
-			h.breach("%s went back from %d to %d", v.name, last, s.Revision)
+			h.addViolation("%s: revision decreased from %d to %d", v.name, last, s.Revision)
 		}
 		last = s.Revision
 	})
 }
 
-func (h *history) step(i int, e event, changes *sync.WaitGroup) {
+func (h *scheduleRun) step(i int, e scheduleStep, changes *sync.WaitGroup) {
 	v := h.fleet.vms[e.VM]
 	switch e.What {
 	case "change":
@@ -123,7 +122,7 @@
 		h.late.SetFaults(store.Faults{RefuseWrites: 2, Delay: 20 * time.Millisecond})
 	case "late":
 		h.late.mu.Lock()
-		h.late.late = append(h.late.late, e.Pause/2+1, e.Pause+1)
+		h.late.delays = append(h.late.delays, e.Pause/2+1, e.Pause+1)
 		h.late.mu.Unlock()
 	case "down":
 		h.late.SetFaults(store.Faults{Down: true})
@@ -134,43 +133,44 @@
 	case "slow":
 		h.late.SetFaults(store.Faults{Delay: e.Pause})
 	case "cut":
-		v.cut.Store(true)
+		v.isolated.Store(true)
 	case "storecut":
-		v.storeCut.Store(true)
+		v.storeUnreachable.Store(true)
 	case "heal":
-		v.cut.Store(false)
-		v.storeCut.Store(false)
+		v.isolated.Store(false)
+		v.storeUnreachable.Store(false)
 	case "stale":
 		old, _ := Encode(v.cache.Snapshot())
 		v.stale.Store(&old)
 	}
 }
 
-func (h *history) heal() {
+func (h *scheduleRun) heal() {
 	h.late.SetFaults(store.Faults{})
 	for _, v := range h.fleet.vms {
-		v.cut.Store(false)
-		v.storeCut.Store(false)
+		v.isolated.Store(false)
+		v.storeUnreachable.Store(false)
 		v.stale.Store(nil)
 	}
 }
 
-// change makes one change and reads its effect on the VM that took it.
-func (h *history) change(v *vm, i int, c Change) {
+// change makes one change and checks that the VM that accepted it has it in force.
+func (h *scheduleRun) change(v *vm, i int, c Change) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	r := result{id: fmt.Sprint("change-", i), change: c}
 	r.revision, _, r.err = v.editor.ApplyOnce(ctx, r.id, -1, []Change{c})
 	if r.err == nil && v.cache.Revision() < r.revision {
-		h.breach("%s accepted %d and reads %d", v.name, r.revision, v.cache.Revision())
+		h.addViolation("%s accepted revision %d and has %d in force", v.name, r.revision, v.cache.Revision())
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.results = append(h.results, r)
 }
 
-// count adds one label to a shared object on condition that nobody changed it since it was read.
-func (h *history) count(v *vm, i int) {
+// count adds a label to a shared object on condition that the object has not changed since it
+// was read.
+func (h *scheduleRun) count(v *vm, i int) {
 	current := v.cache.Snapshot().Get(KindDataCentre, "shared")
 	c := centre("shared")
 	c.IfRevision = IfAbsent
@@ -189,8 +189,8 @@
 	h.change(v, i, c)
 }
 
-// judge compares the end with what operators were told.
-func (h *history) judge() {
+// checkResults compares the final configuration with the results that operators received.
+func (h *scheduleRun) checkResults() {
 	editor := Editor{Store: h.late}
 	accepted := make(map[int64]string)
 	shared := 0
@@ -199,13 +199,13 @@
 		if errors.As(r.err, &unknown) {
 			r.revision, _, r.err = editor.ApplyOnce(context.Background(), unknown.ID, unknown.Since, []Change{r.change})
 			if errors.As(r.err, &unknown) {
-				h.breach("%s is still unknown: %v", r.id, r.err)
+				h.addViolation("%s: outcome still unknown after a repeat: %v", r.id, r.err)
 			}
 		}
 		_, name := r.change.target()
 		if r.err == nil {
 			if other, ok := accepted[r.revision]; ok {
-				h.breach("%s and %s were both accepted at %d", r.id, other, r.revision)
+				h.addViolation("%s and %s were both accepted at revision %d", r.id, other, r.revision)
 			}
 			accepted[r.revision] = r.id
 			if name == "shared" {
@@ -213,33 +213,34 @@
 			}
 		}
 	}
-	settle(5 * time.Second)
+	advance(5 * time.Second)
 	root := h.fleet.vms[0].cache.Snapshot()
 	if root.Revision != int64(len(accepted)) {
-		h.breach("revision %d after %d accepted changes", root.Revision, len(accepted))
+		h.addViolation("revision %d after %d accepted changes", root.Revision, len(accepted))
 	}
 	if s := root.DataCentres["shared"]; s != nil && len(s.Labels) != shared {
-		h.breach("%d of %d conditional changes remain", len(s.Labels), shared)
+		h.addViolation("%d of %d conditional changes are in force", len(s.Labels), shared)
 	}
 	for _, r := range h.results {
 		_, name := r.change.target()
 		if o := root.DataCentres[name]; r.err == nil && (o == nil || name != "shared" && o.Revision != r.revision) {
-			h.breach("%s was accepted at %d and is lost: %v", r.id, r.revision, o)
+			h.addViolation("%s was accepted at revision %d and is lost: %v", r.id, r.revision, o)
 		}
 	}
 	for _, v := range h.fleet.vms {
 		if v.cache.Revision() != root.Revision || v.cache.Staleness(time.Now()).Verdict != staleness.Fresh {
-			h.breach("%s is at %d, not %d: %+v", v.name, v.cache.Revision(), root.Revision, v.cache.Dump(time.Now()))
+			h.addViolation("%s is at revision %d, not %d, or not fresh: %+v", v.name, v.cache.Revision(), root.Revision, v.cache.Dump(time.Now()))
 		}
 	}
 }
 
-// The property above must see something happen: a schedule of plain changes is accepted whole.
+// Guards the property test against passing without any effect: a schedule of changes without
+// faults is accepted whole.
 func TestPropertyHarnessAcceptsPlainChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &history{late: &lateStore{Store: store.New()}}
+		h := &scheduleRun{late: &lateStore{Store: store.New()}}
 		h.fleet = newFleet(h.late.Store, 4)
-		schedule := []event{{What: "change"}, {VM: 3, What: "change"}, {VM: 1, What: "count", Pause: time.Second}, {What: "count"}}
+		schedule := []scheduleStep{{What: "change"}, {VM: 3, What: "change"}, {VM: 1, What: "count", Pause: time.Second}, {What: "count"}}
 		require.Empty(t, h.run(t, schedule))
 		require.EqualValues(t, 4, h.fleet.vms[2].cache.Revision())
 	})
--- a/config/restore.go
+++ b/config/restore.go
@@ -7,21 +7,22 @@
 	"github.com/google/uuid"
 )
 
-// ErrNothingToRestore: the platform's configuration is not older than the one in force here.
+// ErrNothingToRestore means that the platform's configuration is not older than the one in
+// force on this VM.
 var ErrNothingToRestore = errors.New("the platform's configuration is not older than the one in force here")
 
-// ErrAhead: another VM has a later configuration, which must be the one restored.
+// ErrAhead means that another VM has a later configuration, which is the one to restore.
 var ErrAhead = errors.New("another VM has a later configuration in force")
 
-// Restore writes the configuration in force on this VM back to a platform that
-// holds an older one, as after a restored backup or the loss of the object. It
-// takes the next revision, so that all VMs move on to it. An operator asks for
-// it: no VM can know by itself whether the backup was meant. The id makes a repeat
-// return the first result; empty for a new one.
+// Restore writes the configuration in force on this VM back to a platform that holds an older
+// one, for example after a backup was restored or the object was lost. It uses the next
+// revision, so that all VMs take it. Only an operator calls it, since a VM can't know whether
+// the backup was restored on purpose. A repeat with the same id returns the first result; an
+// empty id stands for a new one.
 //
-// Errors: ErrNothingToRestore and ErrAhead besides those of Apply.
+// The errors are ErrNothingToRestore, ErrAhead and those of Apply.
 func (e *Editor) Restore(ctx context.Context, id string) (int64, *Snapshot, error) {
-	if e.held == nil {
+	if e.rootInForce == nil {
 		return 0, nil, ErrNothingToRestore
 	}
 	if id == "" {
@@ -30,14 +31,14 @@
 	return e.settle(ctx, attempt{editor: e, id: id, since: -1, restore: true})
 }
 
-// restored returns the root to write in place of an older one.
-func (a *attempt) restored(old *root) (*root, error) {
-	held, ahead := a.editor.held()
+// restoredRoot returns the root that replaces an older one.
+func (a *attempt) restoredRoot(old *root) (*root, error) {
+	held, ahead := a.editor.rootInForce()
 	switch {
 	case ahead:
-		return nil, a.final(ErrAhead)
+		return nil, a.finalError(ErrAhead)
 	case old.Snapshot.Revision >= held.Snapshot.Revision:
-		return nil, a.final(ErrNothingToRestore)
+		return nil, a.finalError(ErrNothingToRestore)
 	}
-	return &root{Format: held.Format, Snapshot: held.Snapshot.shallow(), History: append([]accepted(nil), held.History...)}, nil
+	return &root{Format: held.Format, Snapshot: held.Snapshot.shallowCopy(), History: append([]acceptedChange(nil), held.History...)}, nil
 }
--- a/config/run.go
+++ b/config/run.go
@@ -10,43 +10,43 @@
 	"goldcrestfork/durable"
 )
 
-// Mode says where a cache takes the configuration from.
+// Mode is the source of a cache's configuration.
 type Mode string
 
 // The modes of a cache.
 const (
-	// ModeStarting: nothing is in force yet.
+	// ModeStarting is the mode before the first step: nothing is in force yet.
 	ModeStarting Mode = "starting"
-	// ModeWatching: it holds the platform's watch.
+	// ModeWatching holds a watch on the platform.
 	ModeWatching Mode = "watching"
-	// ModeFollowing: it takes the configuration from peers.
+	// ModeFollowing fetches the configuration from other VMs.
 	ModeFollowing Mode = "following"
-	// ModeReading: it hears too little from its peers and reads the platform itself.
+	// ModeReading lists the platform's objects, since the other VMs gave no recent confirmation.
 	ModeReading Mode = "reading"
 )
 
-// Periods of a cache.
+// Periods and timeouts of a cache.
 const (
-	// Rotation is how long one watch is held before it is opened anew. A watch over
-	// a dead connection looks like one without events, so only a fresh one proves
-	// that nothing was missed. 3 s keeps the proof under half of staleness.Bound at
-	// a price of a third of a call a second for each watcher.
-	Rotation = 3 * time.Second
-	// lookPeriod is how often a follower compares its revision with those heard. It
-	// is the way of a lost notice, so half of a heartbeat's period is soon enough; a
-	// look lists the fleet, which at 400 VMs takes a tenth of a millisecond or more.
-	lookPeriod = 500 * time.Millisecond
-	// fetchTimeout bounds one fetch from a peer: a root of 100 KB within a region
-	// takes milliseconds, another region's round trip a few hundred (estimated).
+	// WatchRotation is how long one watch is held before a new one is opened. A watch over a
+	// dead connection looks like one without events, so only a newly opened watch confirms that
+	// no event was missed. At 3 s, a watcher's confirmation stays younger than half of
+	// staleness.Bound, and each watcher makes a third of a call a second.
+	WatchRotation = 3 * time.Second
+	// followPeriod is how often a follower compares its revision with those in the heartbeats.
+	// The comparison makes up for lost notices, so half of a heartbeat's period is soon enough.
+	// It lists the fleet, which takes a tenth of a millisecond or more with 400 VMs.
+	followPeriod = 500 * time.Millisecond
+	// fetchTimeout bounds one fetch from a VM: a root of 100 KB takes milliseconds within a
+	// region and a few hundred from another region.
 	fetchTimeout = time.Second
-	// readAfter is the age of the last proof from anybody at which a follower reads
-	// the platform itself: above what a sound watcher's answer gives (two rotations of
-	// at most 3.6 s, and askPeriod), below staleness.Bound by two attempts.
-	readAfter = 10 * time.Second
-	// minRetry and maxRetry bound the mean pause after failed calls to the platform.
-	// At 400 VMs the upper one is 80 calls a second when an outage ends.
-	minRetry = 200 * time.Millisecond
-	maxRetry = 5 * time.Second
+	// directReadAge is the age of the last confirmation from any VM from which a follower reads
+	// the platform itself. It is above the age in a healthy watcher's answer (two rotations of
+	// at most 3.6 s, and askPeriod) and below staleness.Bound by two attempts.
+	directReadAge = 10 * time.Second
+	// minRetryDelay and maxRetryDelay bound the mean pause after failed calls to the platform.
+	// With 400 VMs, maxRetryDelay means 80 calls a second when an outage ends.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
 // Run keeps the cache up to date until ctx ends.
@@ -54,50 +54,51 @@
 	var background sync.WaitGroup
 	defer background.Wait()
 	if c.opts.Contacts != nil {
-		background.Go(func() { c.inquire(ctx) })
+		background.Go(func() { c.pollPeers(ctx) })
 		background.Go(func() { c.announce(ctx) })
 	}
 	failures := 0
 	for ctx.Err() == nil {
 		var err error
-		switch c.choose(time.Now()) {
+		switch c.chooseMode(time.Now()) {
 		case ModeWatching:
 			err = c.watch(ctx)
 		case ModeReading:
 			_, err = c.list(ctx)
 			if err == nil {
-				sleep(ctx, jitter(lookPeriod))
+				sleep(ctx, jitter(followPeriod))
 			}
 		case ModeFollowing:
 			c.follow(ctx)
-			c.idle(ctx, jitter(lookPeriod))
+			c.waitForHint(ctx, jitter(followPeriod))
 		}
 		if err == nil {
 			failures = 0
 			continue
 		}
 		failures++
-		c.retreat(ctx, failures)
+		c.backOff(ctx, failures)
 	}
 }
 
-// retreat waits after a failed call to the platform; peers are listened to meanwhile.
-func (c *Cache) retreat(ctx context.Context, failures int) {
-	mean := min(maxRetry, minRetry<<min(failures-1, 10))
+// backOff waits after a failed call to the platform and goes on fetching from other VMs
+// meanwhile.
+func (c *Cache) backOff(ctx context.Context, failures int) {
+	mean := min(maxRetryDelay, minRetryDelay<<min(failures-1, 10))
 	until := time.Now().Add(jitter(mean))
 	for ctx.Err() == nil && time.Now().Before(until) {
 		c.follow(ctx)
-		c.idle(ctx, min(lookPeriod, time.Until(until)))
+		c.waitForHint(ctx, min(followPeriod, time.Until(until)))
 	}
 }
 
-// choose picks the mode for the next step.
-func (c *Cache) choose(now time.Time) Mode {
+// chooseMode returns the mode for the next step.
+func (c *Cache) chooseMode(now time.Time) Mode {
 	mode := ModeFollowing
 	switch {
 	case c.opts.Peers == nil || c.opts.Peers.Watcher():
 		mode = ModeWatching
-	case c.judge(now).Age(now) > readAfter:
+	case c.evaluate(now).Age(now) > directReadAge:
 		mode = ModeReading
 	}
 	c.mu.Lock()
@@ -106,12 +107,12 @@
 	c.mu.Unlock()
 	if changed {
 		c.opts.Metrics.ModeChanges.WithLabelValues(string(mode)).Inc()
-		c.opts.Log.Info().Str("mode", string(mode)).Msg("source of configuration changed")
+		c.opts.Log.Info().Str("mode", string(mode)).Msg("configuration source changed")
 	}
 	return mode
 }
 
-// list reads the root and returns the revision from which a watch misses nothing.
+// list reads the root and returns the platform's revision from which a watch misses no event.
 func (c *Cache) list(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
@@ -119,38 +120,40 @@
 	listing, err := c.opts.Store.List(ctx, RootKey.Kind)
 	c.opts.Metrics.StoreCalls.WithLabelValues("list").Inc()
 	if err != nil {
-		c.failed()
+		c.recordFailure()
 		return 0, err
 	}
-	seen := int64(0)
+	listed := int64(0)
 	for _, o := range listing.Objects {
 		if o.Key == RootKey {
-			if seen, _, err = c.take(o.Value); err != nil {
+			if listed, _, err = c.install(o.Value); err != nil {
 				return 0, err
 			}
 		}
 	}
-	if seen < floor {
-		// An older root than the one in force proves nothing about newer ones.
-		c.failed()
+	if listed < floor {
+		// A root that is older than the one in force doesn't show that there is no newer one.
+		c.recordFailure()
 		c.opts.Metrics.Reverted.Inc()
 		return 0, ErrReverted
 	}
-	c.confirm(start)
+	c.recordConfirmation(start)
 	return listing.Revision, nil
 }
 
-// watch holds the platform's watch, opened anew each Rotation, while this VM ranks as a watcher.
+// watch holds a watch on the platform and opens a new one each WatchRotation, while this VM is
+// a watcher.
 func (c *Cache) watch(ctx context.Context) error {
 	from, err := c.list(ctx)
 	if err != nil {
 		return err
 	}
-	for ctx.Err() == nil && c.choose(time.Now()) == ModeWatching {
+	for ctx.Err() == nil && c.chooseMode(time.Now()) == ModeWatching {
 		from, err = c.rotate(ctx, from)
 		switch {
 		case errors.Is(err, durable.ErrGone):
-			// The platform dropped events that were asked for: only a list closes the gap.
+			// The platform no longer has the events after this revision, so only a list closes the
+			// gap.
 			c.opts.Metrics.Relists.Inc()
 			if from, err = c.list(ctx); err != nil {
 				return err
@@ -162,28 +165,29 @@
 	return nil
 }
 
-// rotate holds one watch for a Rotation and returns the version to go on from.
+// rotate holds one watch for a WatchRotation and returns the platform's revision to continue
+// from.
 func (c *Cache) rotate(ctx context.Context, from int64) (int64, error) {
 	start := time.Now()
-	w, err := c.open(ctx, from)
+	w, err := c.openWatch(ctx, from)
 	if err != nil {
 		return from, err
 	}
 	defer w.Close()
-	held, cancel := context.WithDeadline(ctx, start.Add(rotation()))
+	held, cancel := context.WithDeadline(ctx, start.Add(jitteredRotation()))
 	defer cancel()
 	for {
 		event, err := w.Next(held)
 		switch {
 		case err != nil && held.Err() != nil:
-			// What changed before the watch was opened has been delivered by now.
+			// All changes from before the watch was opened have been delivered by now.
 			if ctx.Err() == nil {
-				c.confirm(start)
+				c.recordConfirmation(start)
 			}
 			return from, nil
 		case err != nil:
 			if !errors.Is(err, durable.ErrGone) {
-				c.failed()
+				c.recordFailure()
 			}
 			return from, err
 		}
@@ -191,33 +195,33 @@
 		if event.Key != RootKey || event.Deleted {
 			continue
 		}
-		if _, _, err := c.take(event.Value); err != nil {
+		if _, _, err := c.install(event.Value); err != nil {
 			return from, err
 		}
 	}
 }
 
-// open starts a watch; the call is bounded, the watch is not.
-func (c *Cache) open(ctx context.Context, from int64) (durable.Watch, error) {
+// openWatch opens a watch. The timeout bounds the call, not the watch.
+func (c *Cache) openWatch(ctx context.Context, from int64) (durable.Watch, error) {
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
 	c.opts.Metrics.StoreCalls.WithLabelValues("watch").Inc()
 	w, err := c.opts.Store.Watch(ctx, RootKey.Kind, from)
 	if err != nil && !errors.Is(err, durable.ErrGone) {
-		c.failed()
+		c.recordFailure()
 	}
 	return w, err
 }
 
-// follow takes the configuration from a peer that has a higher revision, if one is heard.
+// follow fetches the configuration from a VM that has a higher revision, if there is one.
 func (c *Cache) follow(ctx context.Context) {
 	if c.opts.Peers == nil {
 		return
 	}
 	have := c.Revision()
-	ahead := newest(c.opts.Peers.Revisions(), have)
-	// Any of those ahead will do; the first of a random order spreads a new revision
-	// over all that have it instead of over the two watchers.
+	ahead := newestPeers(c.opts.Peers.Revisions(), have)
+	// The VMs are tried in random order, so that the fetches of a new revision spread over all
+	// VMs that have it instead of the two watchers.
 	rand.Shuffle(len(ahead), func(i, j int) { ahead[i], ahead[j] = ahead[j], ahead[i] })
 	for _, vm := range ahead[:min(len(ahead), maxFetches)] {
 		if c.fetch(ctx, vm, have) {
@@ -226,14 +230,15 @@
 	}
 }
 
-// maxFetches bounds the peers asked in one round; the next round is lookPeriod away.
+// maxFetches bounds the VMs asked in one call of follow; the next call comes after
+// followPeriod.
 const maxFetches = 2
 
-// fetch asks one peer and reports whether its answer was put in force. A delta
-// that does not fit is followed by the whole, unless another answer came first.
+// fetch fetches from one VM and reports whether its answer was put in force. If a delta does
+// not fit, fetch gets the whole configuration, unless the revision has changed meanwhile.
 func (c *Cache) fetch(ctx context.Context, vm string, have int64) bool {
 	ok, err := c.fetchOnce(ctx, vm, have)
-	if errors.Is(err, errNoDelta) && c.Revision() == have {
+	if errors.Is(err, errDeltaMismatch) && c.Revision() == have {
 		ok, _ = c.fetchOnce(ctx, vm, 0)
 	}
 	return ok
@@ -252,8 +257,8 @@
 	return c.Offer(encoded)
 }
 
-// newest lists the VMs above have that are at the highest revision heard.
-func newest(revisions map[string]int64, have int64) []string {
+// newestPeers lists the VMs with the highest revision, if it is above have.
+func newestPeers(revisions map[string]int64, have int64) []string {
 	var ahead []string
 	best := have
 	for vm, revision := range revisions {
@@ -267,13 +272,13 @@
 	return ahead
 }
 
-// rotation spreads Rotation over 0.8 to 1.2 of it, so that watchers part and the
-// age of a proof stays under staleness.Bound.
-func rotation() time.Duration {
-	return Rotation*4/5 + time.Duration(rand.Int64N(int64(Rotation*2/5)))
+// jitteredRotation returns 0.8 to 1.2 times WatchRotation, so that watchers don't call at the
+// same time. The upper limit keeps the age of a confirmation below staleness.Bound.
+func jitteredRotation() time.Duration {
+	return WatchRotation*4/5 + time.Duration(rand.Int64N(int64(WatchRotation*2/5)))
 }
 
-// jitter spreads a pause over half to one and a half of it, so that VMs part.
+// jitter returns 0.5 to 1.5 times d, so that VMs don't call at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
