--- a/config/cache.go
+++ b/config/cache.go
@@ -213,11 +213,14 @@
 
 // State is the configuration part of the state dump.
 type State struct {
-	Revision     int64              `json:"revision"`
-	Mode         Mode               `json:"mode"`
+	// Revision is the revision in force.
+	Revision int64 `json:"revision"`
+	Mode     Mode  `json:"mode"`
+	// StoreFailing reports whether this VM's last call to the platform failed.
 	StoreFailing bool               `json:"storeFailing"`
 	Staleness    staleness.Decision `json:"staleness"`
-	Objects      map[Kind]int       `json:"objects"`
+	// Objects is the number of objects of each kind.
+	Objects map[Kind]int `json:"objects"`
 }
 
 // Dump returns the revision in force, its source, the decision whether this VM takes work, and
--- a/config/contacts.go
+++ b/config/contacts.go
@@ -218,6 +218,8 @@
 	}
 }
 
+// notifyDataCentre notifies the other VMs of this data centre of a revision. It leaves out the
+// watchers, which learn of it from the platform.
 func (c *Cache) notifyDataCentre(ctx context.Context, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -75,6 +75,7 @@
 	})
 }
 
+// run runs the schedule and returns the violated properties.
 func (h *scheduleRun) run(t *testing.T, schedule []scheduleStep) []string {
 	ctx, cancel := context.WithCancel(t.Context())
 	var background, changes sync.WaitGroup
@@ -109,6 +110,7 @@
 	})
 }
 
+// step applies one step of the schedule. Changes run concurrently with later steps.
 func (h *scheduleRun) step(i int, e scheduleStep, changes *sync.WaitGroup) {
 	v := h.fleet.vms[e.VM]
 	switch e.What {
@@ -145,6 +147,7 @@
 	}
 }
 
+// heal ends all faults.
 func (h *scheduleRun) heal() {
 	h.late.SetFaults(store.Faults{})
 	for _, v := range h.fleet.vms {
--- a/config/slopes_test.go
+++ b/config/slopes_test.go
@@ -37,6 +37,8 @@
 	byID  map[string]*meshVM
 }
 
+// meshVM is a VM of a mesh. It counts the bytes served to other VMs, the requests for evidence
+// and the notices sent.
 type meshVM struct {
 	mesh       *mesh
 	id, centre string
