--- a/cmd/goldcrest-node/sessions_test.go
+++ b/cmd/goldcrest-node/sessions_test.go
@@ -115,7 +115,7 @@
 	trying := func() string {
 		for {
 			next++
-			if id := fmt.Sprint("session", next); trial.SessionOf("s", id).Tries(trial.Share(0.4)) {
+			if id := fmt.Sprint("session", next); trial.HashSession("s", id).Tries(trial.SessionShare(0.4)) {
 				return id
 			}
 		}
--- a/cmd/goldcrest/read.go
+++ b/cmd/goldcrest/read.go
@@ -153,7 +153,7 @@
 	if a.commands.JSON {
 		return a.printJSON(f)
 	}
-	fmt.Fprintf(a.out, "revision %d is in force on %d of %d VMs\n", f.Revision, f.At, f.Of)
+	fmt.Fprintf(a.out, "revision %d is in force on %d of %d VMs\n", f.Revision, f.Reached, f.Total)
 	for _, vm := range f.Behind {
 		fmt.Fprintln(a.out, "behind:", vm)
 	}
--- a/cmd/processtest/kill_test.go
+++ b/cmd/processtest/kill_test.go
@@ -122,7 +122,7 @@
 			}
 		})
 	}
-	until(t, "the bound of a stale view", func() bool { return time.Since(withdrawn) > staleness.Bound })
+	until(t, "the bound of a stale view", func() bool { return time.Since(withdrawn) > staleness.MaxConfirmationAge })
 	thaw(w.vms[0])
 	work.Wait()
 	for _, o := range refusals {
--- a/config/apply.go
+++ b/config/apply.go
@@ -71,7 +71,7 @@
 		m.Labels = make(map[string]string)
 	}
 	maps.Copy(m.Labels, c.Labels)
-	for _, key := range c.Unlabel {
+	for _, key := range c.RemoveLabels {
 		delete(m.Labels, key)
 	}
 	m.Revision = revision
--- a/config/attempt.go
+++ b/config/attempt.go
@@ -178,7 +178,7 @@
 		return false, nil
 	case errors.Is(err, durable.ErrTooLarge):
 		return false, Problems{{Field: "configuration", Got: fmt.Sprintf("%d bytes", len(encoded)),
-			Want: fmt.Sprintf("at most %d bytes encoded", durable.MaxValue)}}
+			Want: fmt.Sprintf("at most %d bytes encoded", durable.MaxValueBytes)}}
 	case errors.Is(err, durable.ErrUnavailable) && a.pending == nil:
 		return false, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 	case errors.Is(err, durable.ErrUnavailable):
--- a/config/cache_test.go
+++ b/config/cache_test.go
@@ -134,7 +134,7 @@
 // The platform is down for ten minutes: VMs go on taking work, a starting VM gets the
 // configuration from its peers, and one without peers is not ready. A VM that is cut off from
 // its peers and the platform while the platform works must stop taking work within
-// staleness.Bound.
+// staleness.MaxConfirmationAge.
 func TestPlatformOutageAndIsolatedVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
@@ -167,7 +167,7 @@
 		cutOff := f.vms[0]
 		cutOff.isolated.Store(true)
 		cutOff.storeUnreachable.Store(true)
-		advance(staleness.Bound + WatchRotation)
+		advance(staleness.MaxConfirmationAge + WatchRotation)
 		require.Equal(t, staleness.Cut, cutOff.cache.Staleness(time.Now()).Verdict)
 		require.EqualValues(t, 1, testutil.ToFloat64(cutOff.cache.opts.Metrics.Verdicts.WithLabelValues("cut")), "the change of the verdict must be counted")
 		_, _, err = cutOff.editor.Apply(t.Context(), []Change{centre("norte-b")})
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -188,7 +188,7 @@
 
 func TestCountInForce(t *testing.T) {
 	f := CountInForce(5, []string{"a", "b", "c"}, map[string]int64{"a": 5, "b": 4, "d": 7})
-	require.Equal(t, InForce{Revision: 5, At: 2, Of: 4, Behind: []string{"b"}, Silent: []string{"c"}}, f)
+	require.Equal(t, InForce{Revision: 5, Reached: 2, Total: 4, Behind: []string{"b"}, Silent: []string{"c"}}, f)
 	require.False(t, f.Everywhere())
 }
 
--- a/config/contacts.go
+++ b/config/contacts.go
@@ -68,14 +68,14 @@
 	return true
 }
 
-// recentReports returns the reports that are younger than staleness.Bound and removes the
+// recentReports returns the reports that are younger than staleness.MaxConfirmationAge and removes the
 // others.
 func (q *poller) recentReports(now time.Time) []staleness.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	reports := make([]staleness.Report, 0, len(q.reports))
 	for vm, r := range q.reports {
-		if now.Sub(r.AskedAt) > staleness.Bound {
+		if now.Sub(r.AskedAt) > staleness.MaxConfirmationAge {
 			delete(q.reports, vm)
 			continue
 		}
--- a/config/editor.go
+++ b/config/editor.go
@@ -59,9 +59,9 @@
 	// Kind and Name identify the object of the other operations.
 	Kind Kind
 	Name string
-	// OpLabel sets Labels and removes the keys in Unlabel.
-	Labels  map[string]string
-	Unlabel []string
+	// OpLabel sets Labels and removes the keys in RemoveLabels.
+	Labels       map[string]string
+	RemoveLabels []string
 	// Edit modifies a copy of the object for OpEdit. It may be called several times.
 	Edit func(Object) error
 	// IfRevision is the condition: IfAny, IfAbsent or a revision.
@@ -97,9 +97,9 @@
 	HighestRevision func() int64
 	// OnAccepted is called with the encoded root of each accepted change; may be nil.
 	OnAccepted func(encoded []byte)
-	// Gate returns an error if this VM may not accept a change at present, as Cache.MayAccept
+	// MayAccept returns an error if this VM may not accept a change at present, as Cache.MayAccept
 	// does; nil for no check.
-	Gate func(context.Context) error
+	MayAccept func(context.Context) error
 	// rootInForce returns the root in force and whether another VM is known to have a later one.
 	rootInForce func() (*root, bool)
 }
@@ -109,7 +109,7 @@
 	return &Editor{
 		Store:           store,
 		HighestRevision: cache.Revision,
-		Gate:            cache.MayAccept,
+		MayAccept:       cache.MayAccept,
 		rootInForce:     cache.rootInForce,
 		// The error needs no handling: the cache counts it, and an encoding of this VM is always
 		// decodable.
@@ -135,8 +135,8 @@
 
 // settle makes attempts until the outcome of the change is known or ctx ends.
 func (e *Editor) settle(ctx context.Context, a attempt) (int64, *Snapshot, error) {
-	if e.Gate != nil {
-		if err := e.Gate(ctx); err != nil {
+	if e.MayAccept != nil {
+		if err := e.MayAccept(ctx); err != nil {
 			return 0, nil, a.finalError(err)
 		}
 	}
--- a/config/editor_test.go
+++ b/config/editor_test.go
@@ -146,7 +146,7 @@
 		{"root of a newer release", Editor{Store: withRoot(t, newerBytes)}, ErrNewer},
 		{"foreign bytes in the root", Editor{Store: withRoot(t, []byte("x"))}, ErrFormat},
 		{"older backup restored", Editor{Store: store.New(), HighestRevision: func() int64 { return 9 }}, ErrReverted},
-		{"minority", Editor{Store: store.New(), Gate: func(context.Context) error { return context.Canceled }}, context.Canceled},
+		{"minority", Editor{Store: store.New(), MayAccept: func(context.Context) error { return context.Canceled }}, context.Canceled},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
--- a/config/inforce.go
+++ b/config/inforce.go
@@ -6,9 +6,9 @@
 type InForce struct {
 	// Revision is the revision that was asked for.
 	Revision int64 `json:"revision"`
-	// At is the number of VMs, of all Of, that have this revision or a later one in force.
-	At int `json:"at"`
-	Of int `json:"of"`
+	// Reached is the number of VMs, of all Total, that have this revision or a later one in force.
+	Reached int `json:"at"`
+	Total   int `json:"of"`
 	// Behind are the VMs that reported an earlier revision.
 	Behind []string `json:"behind,omitempty"`
 	// Silent are listed VMs that have not reported recently.
@@ -16,7 +16,7 @@
 }
 
 // Everywhere reports whether all VMs have the revision in force.
-func (i InForce) Everywhere() bool { return i.At == i.Of }
+func (i InForce) Everywhere() bool { return i.Reached == i.Total }
 
 // CountInForce counts the VMs that have a revision in force. listed are the VMs in the
 // platform's list; reported has the recent revision of each VM, this one included. A VM
@@ -29,7 +29,7 @@
 	}
 	slices.Sort(all)
 	for _, vm := range slices.Compact(all) {
-		f.Of++
+		f.Total++
 		at, ok := reported[vm]
 		switch {
 		case !ok:
@@ -37,7 +37,7 @@
 		case at < revision:
 			f.Behind = append(f.Behind, vm)
 		default:
-			f.At++
+			f.Reached++
 		}
 	}
 	return f
--- a/config/kinds.go
+++ b/config/kinds.go
@@ -20,8 +20,8 @@
 // Kinds lists the kinds in the order in which they are shown and checked.
 var Kinds = []Kind{KindDataCentre, KindVersion, KindService, KindEndpoint, KindRollOut, KindAccount}
 
-// New returns an empty object of the kind, or nil for an unknown kind.
-func New(kind Kind) Object {
+// NewObject returns an empty object of the kind, or nil for an unknown kind.
+func NewObject(kind Kind) Object {
 	switch kind {
 	case KindAccount:
 		return new(ClientAccount)
@@ -68,7 +68,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("config: encode %T: %v", o, err))
 	}
-	c := New(KindOf(o))
+	c := NewObject(KindOf(o))
 	if err := cbor.Unmarshal(data, c); err != nil {
 		panic(fmt.Sprintf("config: decode %T: %v", o, err))
 	}
--- a/config/pages_test.go
+++ b/config/pages_test.go
@@ -21,7 +21,7 @@
 	objects := page(t, "objects.md")
 	for _, kind := range Kinds {
 		require.Contains(t, objects, "## `"+string(kind)+"`")
-		for name := range fieldsOf(reflect.TypeOf(New(kind)).Elem()) {
+		for name := range fieldsOf(reflect.TypeOf(NewObject(kind)).Elem()) {
 			require.Contains(t, objects, "`"+name+"`", "%s", kind)
 		}
 	}
--- a/config/parse.go
+++ b/config/parse.go
@@ -82,7 +82,7 @@
 		return
 	}
 	p.kind, p.name = Kind(stringMember(o, "kind")), stringMember(o, "name")
-	target := New(p.kind)
+	target := NewObject(p.kind)
 	if target == nil {
 		got := fmt.Sprintf("%q", p.kind)
 		p.kind = ""
--- a/config/proof.go
+++ b/config/proof.go
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	confirmedAt := c.confirmedAt
 	c.mu.Unlock()
-	if !confirmedAt.IsZero() && now.Sub(confirmedAt) <= staleness.Bound {
+	if !confirmedAt.IsZero() && now.Sub(confirmedAt) <= staleness.MaxConfirmationAge {
 		return staleness.Decision{Verdict: staleness.Fresh, Confirmed: confirmedAt, Reason: "proved current"}
 	}
 	return c.evaluate(now)
--- a/config/run.go
+++ b/config/run.go
@@ -30,7 +30,7 @@
 	// WatchRotation is how long one watch is held before a new one is opened. A watch over a
 	// dead connection looks like one without events, so only a newly opened watch confirms that
 	// no event was missed. At 3 s, a watcher's confirmation stays younger than half of
-	// staleness.Bound, and each watcher makes a third of a call a second.
+	// staleness.MaxConfirmationAge, and each watcher makes a third of a call a second.
 	WatchRotation = 3 * time.Second
 	// followPeriod is how often a follower compares its revision with those in the heartbeats.
 	// The comparison makes up for lost notices, so half of a heartbeat's period is soon enough.
@@ -41,7 +41,7 @@
 	fetchTimeout = time.Second
 	// directReadAge is the age of the last confirmation from any VM from which a follower reads
 	// the platform itself. It is above the age in a healthy watcher's answer (two rotations of
-	// at most 3.6 s, and askPeriod) and below staleness.Bound by two attempts.
+	// at most 3.6 s, and askPeriod) and below staleness.MaxConfirmationAge by two attempts.
 	directReadAge = 10 * time.Second
 	// minRetryDelay and maxRetryDelay bound the mean pause after failed calls to the platform.
 	// With 400 VMs, maxRetryDelay means 80 calls a second when an outage ends.
@@ -273,7 +273,7 @@
 }
 
 // jitteredRotation returns 0.8 to 1.2 times WatchRotation, so that watchers don't call at the
-// same time. The upper limit keeps the age of a confirmation below staleness.Bound.
+// same time. The upper limit keeps the age of a confirmation below staleness.MaxConfirmationAge.
 func jitteredRotation() time.Duration {
 	return WatchRotation*4/5 + time.Duration(rand.Int64N(int64(WatchRotation*2/5)))
 }
--- a/config/staleness/staleness.go
+++ b/config/staleness/staleness.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// Bound is the age of the last confirmation from which a VM takes no new work. A change must
-	// be in force within 16 s; Bound leaves 2 s to decide and to refuse requests. It is above
+	// MaxConfirmationAge is the age of the last confirmation from which a VM takes no new work. A change must
+	// be in force within 16 s; MaxConfirmationAge leaves 2 s to decide and to refuse requests. It is above
 	// the age that a healthy VM sees: two rotations of a watch (2 x 3.6 s at most) and the pause
 	// between requests for evidence (2.25 s at most).
-	Bound = 14 * time.Second
+	MaxConfirmationAge = 14 * time.Second
 	// MaxReportAge is the age from which a VM's report no longer counts. It covers two requests
 	// for evidence, so that one lost answer changes nothing.
 	MaxReportAge = 5 * time.Second
@@ -79,7 +79,7 @@
 const (
 	// Starting means that the VM has no configuration yet. It is not ready.
 	Starting Verdict = "starting"
-	// Fresh means that the configuration was confirmed as current within Bound.
+	// Fresh means that the configuration was confirmed as current within MaxConfirmationAge.
 	Fresh Verdict = "fresh"
 	// StoreDown means that the platform fails for a majority of the data centres, so no change
 	// can be accepted. The VM goes on taking work.
@@ -116,7 +116,7 @@
 		d.Verdict, d.Reason = Starting, "no configuration yet"
 		return d
 	}
-	if d.Age(now) <= Bound {
+	if d.Age(now) <= MaxConfirmationAge {
 		d.Verdict, d.Reason = Fresh, fmt.Sprintf("current %s ago", d.Age(now).Round(time.Millisecond))
 		return d
 	}
--- a/config/staleness/staleness_test.go
+++ b/config/staleness/staleness_test.go
@@ -59,8 +59,8 @@
 		})
 	}
 	require.Equal(t, Starting, Decide(View{StoreFailing: true, VMs: three}, now).Verdict)
-	require.Equal(t, Fresh, Decide(View{Revision: 5, Confirmed: now.Add(-Bound)}, now).Verdict)
-	require.Equal(t, Cut, Decide(View{Revision: 5, Confirmed: now.Add(-Bound - 1)}, now).Verdict)
+	require.Equal(t, Fresh, Decide(View{Revision: 5, Confirmed: now.Add(-MaxConfirmationAge)}, now).Verdict)
+	require.Equal(t, Cut, Decide(View{Revision: 5, Confirmed: now.Add(-MaxConfirmationAge - 1)}, now).Verdict)
 }
 
 // A VM was suspended for a minute and then reads old answers from its buffers, which report
--- a/control/edited.go
+++ b/control/edited.go
@@ -9,26 +9,26 @@
 	"goldcrestfork/durable"
 )
 
-// Edited implements Configuration on a VM: it reads the VM's configuration cache and
+// CachedConfiguration implements Configuration on a VM: it reads the VM's configuration cache and
 // writes through the VM's editor.
-type Edited struct {
+type CachedConfiguration struct {
 	cache  *config.Cache
 	editor *config.Editor
 }
 
-var _ Configuration = (*Edited)(nil)
+var _ Configuration = (*CachedConfiguration)(nil)
 
-// NewEdited returns a Configuration that uses a cache and the editor that updates it.
-func NewEdited(cache *config.Cache, editor *config.Editor) *Edited {
-	return &Edited{cache: cache, editor: editor}
+// NewCachedConfiguration returns a Configuration that uses a cache and the editor that updates it.
+func NewCachedConfiguration(cache *config.Cache, editor *config.Editor) *CachedConfiguration {
+	return &CachedConfiguration{cache: cache, editor: editor}
 }
 
 // Snapshot implements Configuration.
-func (e *Edited) Snapshot() *config.Snapshot { return e.cache.Snapshot() }
+func (e *CachedConfiguration) Snapshot() *config.Snapshot { return e.cache.Snapshot() }
 
 // Update implements Configuration. It also returns ErrConflict if the cache is not at
 // ifRevision, since mutate would receive an object that the caller did not evaluate.
-func (e *Edited) Update(ctx context.Context, kind config.Kind, name string, mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
+func (e *CachedConfiguration) Update(ctx context.Context, kind config.Kind, name string, mutate func(obj config.Object) error, ifRevision int64) (int64, error) {
 	current := e.cache.Snapshot().Get(kind, name)
 	if current == nil || config.MetaOf(current).Revision != ifRevision {
 		return 0, fmt.Errorf("%w: %s %s is not at %d", ErrConflict, kind, name, ifRevision)
--- a/control/edited_test.go
+++ b/control/edited_test.go
@@ -18,7 +18,7 @@
 
 // vm is one VM's configuration cache and editor on the shared store.
 type vm struct {
-	*Edited
+	*CachedConfiguration
 	cache *config.Cache
 	store *store.Store
 }
@@ -26,8 +26,8 @@
 func newVM(s *store.Store) vm {
 	cache := config.NewCache(config.Options{Store: s})
 	editor := config.NewEditor(s, cache)
-	editor.Gate = nil // package config decides whether a VM may accept changes
-	return vm{NewEdited(cache, editor), cache, s}
+	editor.MayAccept = nil // package config decides whether a VM may accept changes
+	return vm{NewCachedConfiguration(cache, editor), cache, s}
 }
 
 // refresh loads the current configuration into the VM's cache.
--- a/control/loops/loops.go
+++ b/control/loops/loops.go
@@ -131,7 +131,7 @@
 // roll-outs that are over.
 func (l *Loops) underWay() []string {
 	s := l.opts.Configuration.Snapshot()
-	l.opts.Brakes.Forget(s)
+	l.opts.Brakes.Prune(s)
 	var names []string
 	for name, r := range s.RollOuts {
 		if rollout.UnderWay(r) {
--- a/control/loops/loops_test.go
+++ b/control/loops/loops_test.go
@@ -82,11 +82,11 @@
 	v := &testVM{VM: VM{id, dataCentre}, fleet: f, recorder: rollout.NewRecorder(id)}
 	v.cache = config.NewCache(config.Options{Store: f.store})
 	editor := config.NewEditor(f.store, v.cache)
-	editor.Gate = nil // package config decides whether a VM may accept changes
+	editor.MayAccept = nil // package config decides whether a VM may accept changes
 	settings := rollout.DefaultSettings()
 	settings.MinRated = 0
 	v.loops = New(Options{
-		Self: v.VM, Peers: v, Store: f.store, Configuration: control.NewEdited(v.cache, editor),
+		Self: v.VM, Peers: v, Store: f.store, Configuration: control.NewCachedConfiguration(v.cache, editor),
 		Recorder: v.recorder, Brakes: &v.brakes,
 		Lease: lease.DefaultSettings(), RollOuts: settings, Orders: orders.DefaultSettings(),
 		Registerer: prometheus.NewRegistry(), Log: zerolog.Nop(),
--- a/control/rollouts/controller.go
+++ b/control/rollouts/controller.go
@@ -175,7 +175,7 @@
 	if to, ok := s.Versions[r.To]; !ok || to.State == config.VersionWithdrawn {
 		return rollout.Verdict{Action: rollout.RollBack, Reason: r.To + " is withdrawn", Findings: v.Findings}
 	}
-	if c.brakes != nil && c.brakes.On(r) && v.Action != rollout.RollBack {
+	if c.brakes != nil && c.brakes.IsBraked(r) && v.Action != rollout.RollBack {
 		return rollout.Verdict{Action: rollout.RollBack, Reason: "braked for another VM's finding", Findings: v.Findings}
 	}
 	return v
--- a/control/rollouts/controller_test.go
+++ b/control/rollouts/controller_test.go
@@ -164,7 +164,7 @@
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(Interval) {
 			l.Tick(t.Context())
 			c.Tick(t.Context())
-			if braked == 0 && brakes.On(&r) {
+			if braked == 0 && brakes.IsBraked(&r) {
 				braked = time.Since(began)
 			}
 		}
--- a/durable/httpstore/client.go
+++ b/durable/httpstore/client.go
@@ -112,7 +112,7 @@
 
 // Put implements durable.Store.
 func (c *Client) Put(ctx context.Context, key durable.Key, value []byte, ifVersion int64) (durable.Object, error) {
-	if len(value) > durable.MaxValue {
+	if len(value) > durable.MaxValueBytes {
 		return durable.Object{}, durable.ErrTooLarge
 	}
 	o, err := c.write(ctx, http.MethodPut, key, value, ifVersion)
@@ -134,7 +134,7 @@
 	if ifVersion == 0 {
 		condition.Set("If-None-Match", "*")
 	} else {
-		condition.Set("If-Match", Tag(ifVersion))
+		condition.Set("If-Match", FormatETag(ifVersion))
 	}
 	status, header, body, err := c.call(ctx, method, Path(key.Kind, key.Name), condition, value)
 	if errors.Is(err, errNotSent) {
@@ -237,7 +237,7 @@
 }
 
 func parseObject(key durable.Key, header http.Header, body []byte) (durable.Object, error) {
-	version, err := ParseTag(header.Get("ETag"))
+	version, err := ParseETag(header.Get("ETag"))
 	if err != nil {
 		return durable.Object{}, unavailable(err)
 	}
--- a/durable/httpstore/watch.go
+++ b/durable/httpstore/watch.go
@@ -13,14 +13,14 @@
 	"goldcrestfork/durable"
 )
 
-// KeepAlive is the longest time between two lines that a server writes to a watch; the
+// KeepAliveInterval is the longest time between two lines that a server writes to a watch; the
 // server writes an empty line if there is no event.
-const KeepAlive = 5 * time.Second
+const KeepAliveInterval = 5 * time.Second
 
 // WatchTimeout is the time without a line after which a watch counts as broken; it allows
 // for two lost keep-alives. Without it, a watch on a connection that a switch dropped
 // silently would wait forever, and the VM would miss a withdrawal.
-const WatchTimeout = 3 * KeepAlive
+const WatchTimeout = 3 * KeepAliveInterval
 
 type watch struct {
 	kind   string
@@ -102,7 +102,7 @@
 	if len(raw) == 0 {
 		return true
 	}
-	var line Line
+	var line WatchLine
 	if json.Unmarshal(raw, &line) != nil {
 		return false
 	}
--- a/durable/httpstore/wire.go
+++ b/durable/httpstore/wire.go
@@ -21,8 +21,8 @@
 	Objects  []Object `json:"objects"`
 }
 
-// Line is one line of a watch. An empty line keeps the stream alive.
-type Line struct {
+// WatchLine is one line of a watch. An empty line keeps the stream alive.
+type WatchLine struct {
 	Object
 	Deleted bool `json:"deleted,omitempty"`
 	// Gone ends the stream, since the platform no longer keeps the requested events.
@@ -47,15 +47,15 @@
 	return p
 }
 
-// Tag formats a version as an entity tag.
-func Tag(version int64) string { return `"` + strconv.FormatInt(version, 10) + `"` }
+// FormatETag formats a version as an entity tag.
+func FormatETag(version int64) string { return `"` + strconv.FormatInt(version, 10) + `"` }
 
-// ParseTag returns the version in an entity tag, or an error if it holds no number.
-func ParseTag(tag string) (int64, error) {
+// ParseETag returns the version in an entity tag, or an error if it holds no number.
+func ParseETag(tag string) (int64, error) {
 	return strconv.ParseInt(strings.Trim(tag, `"`), 10, 64)
 }
 
-func (l Line) event(kind string) durable.Event {
+func (l WatchLine) event(kind string) durable.Event {
 	key := durable.Key{Kind: kind, Name: l.Name}
 	return durable.Event{
 		Object:  durable.Object{Key: key, Version: l.Version, Value: l.Value},
--- a/durable/platform.go
+++ b/durable/platform.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MaxValue is the size of the largest value that the platform accepts, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the size of the largest value that the platform accepts, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Key identifies one object.
 type Key struct {
@@ -27,7 +27,7 @@
 	// Version is the store-wide revision of the write that stored this value. Versions
 	// increase over all objects together; zero means that the object does not exist.
 	Version int64
-	// Value holds at most MaxValue bytes and is opaque to the platform.
+	// Value holds at most MaxValueBytes bytes and is opaque to the platform.
 	Value []byte
 }
 
@@ -113,7 +113,7 @@
 	// ErrGone means that a watch started at a revision older than the history that the
 	// platform keeps.
 	ErrGone = errors.New("revision no longer kept")
-	// ErrTooLarge means that the value exceeds MaxValue; the write had no effect.
+	// ErrTooLarge means that the value exceeds MaxValueBytes; the write had no effect.
 	ErrTooLarge = errors.New("value too large")
 )
 
--- a/durable/storetest/storetest.go
+++ b/durable/storetest/storetest.go
@@ -14,8 +14,8 @@
 
 // Faults injects faults into the store under test.
 type Faults interface {
-	// Outage starts an outage if down is true, and otherwise ends it.
-	Outage(down bool)
+	// SetOutage starts an outage if down is true, and otherwise ends it.
+	SetOutage(down bool)
 	// LoseReply loses the reply to the next write, with or without its effect.
 	LoseReply(effect bool)
 	// HoldWrite loses the next write's reply and delays its effect until Release.
@@ -24,8 +24,8 @@
 	Release()
 	// LoseHistory drops the history, so that the next watch fails with ErrGone.
 	LoseHistory()
-	// Slow delays each call.
-	Slow(d time.Duration)
+	// SetDelay delays each call.
+	SetDelay(d time.Duration)
 	// SetVMs replaces the list of VMs.
 	SetVMs(vms []durable.VM)
 }
@@ -109,13 +109,13 @@
 }
 
 func tooLarge(t *testing.T, f Fixture) {
-	_, err := f.Store.Put(t.Context(), key, make([]byte, durable.MaxValue+1), 0)
+	_, err := f.Store.Put(t.Context(), key, make([]byte, durable.MaxValueBytes+1), 0)
 	require.ErrorIs(t, err, durable.ErrTooLarge)
-	o, err := f.Store.Put(t.Context(), key, make([]byte, durable.MaxValue), 0)
+	o, err := f.Store.Put(t.Context(), key, make([]byte, durable.MaxValueBytes), 0)
 	require.NoError(t, err)
 	got, err := f.Store.Get(t.Context(), key)
 	require.NoError(t, err)
-	require.Len(t, got.Value, durable.MaxValue)
+	require.Len(t, got.Value, durable.MaxValueBytes)
 	require.Equal(t, o.Version, got.Version)
 }
 
@@ -137,7 +137,7 @@
 
 func outage(t *testing.T, f Fixture) {
 	o := put(t, f, key, "1", 0)
-	f.Faults.Outage(true)
+	f.Faults.SetOutage(true)
 	ctx := t.Context()
 	_, err := f.Store.Put(ctx, key, []byte("2"), o.Version)
 	require.ErrorIs(t, err, durable.ErrUnavailable)
@@ -150,7 +150,7 @@
 	require.ErrorIs(t, err, durable.ErrUnavailable)
 	_, err = f.Store.Watch(ctx, kind, 0)
 	require.ErrorIs(t, err, durable.ErrUnavailable)
-	f.Faults.Outage(false)
+	f.Faults.SetOutage(false)
 	got, err := f.Store.Get(ctx, key)
 	require.NoError(t, err)
 	require.Equal(t, o, got, "a call refused as unavailable had no effect")
@@ -160,10 +160,10 @@
 	w, err := f.Store.Watch(t.Context(), kind, 0)
 	require.NoError(t, err)
 	defer w.Close()
-	f.Faults.Outage(true)
+	f.Faults.SetOutage(true)
 	_, err = w.Next(t.Context())
 	require.ErrorIs(t, err, durable.ErrUnavailable)
-	f.Faults.Outage(false)
+	f.Faults.SetOutage(false)
 	o := put(t, f, key, "1", 0)
 	again, err := f.Store.Watch(t.Context(), kind, 0)
 	require.NoError(t, err)
@@ -240,14 +240,14 @@
 }
 
 func slow(t *testing.T, f Fixture) {
-	f.Faults.Slow(time.Minute)
+	f.Faults.SetDelay(time.Minute)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	_, err := f.Store.Get(ctx, key)
 	require.ErrorIs(t, err, durable.ErrUnavailable)
 	_, err = f.Store.Put(ctx, key, []byte("1"), 0)
 	require.Error(t, err)
-	f.Faults.Slow(0)
+	f.Faults.SetDelay(0)
 }
 
 func vms(t *testing.T, f Fixture) {
--- a/fleet/address/address.go
+++ b/fleet/address/address.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// Keep is how long a caller may use an answer. With 400 VMs and 12,000 callers,
+	// AnswerTTL is how long a caller may use an answer. With 400 VMs and 12,000 callers,
 	// 20 s means 600 requests a second, about two a VM. A planned stop waits for it once.
-	Keep = 20 * time.Second
-	// Spread is how long other VMs may still name a VM that drains. The state reaches
+	AnswerTTL = 20 * time.Second
+	// DrainPropagation is how long other VMs may still name a VM that drains. The state reaches
 	// all VMs in about ten ticks of a second (docs/design/membership.md).
-	Spread = 15 * time.Second
-	// Drain is how long a VM that stops must continue to serve callers after it
-	// announced that it drains: the last answer that names it is given within Spread
-	// and is used for Keep.
-	Drain = Spread + Keep
+	DrainPropagation = 15 * time.Second
+	// DrainTime is how long a VM that stops must continue to serve callers after it
+	// announced that it drains: the last answer that names it is given within DrainPropagation
+	// and is used for AnswerTTL.
+	DrainTime = DrainPropagation + AnswerTTL
 	// MaxAddresses bounds the addresses of an answer: a first choice and two
-	// alternatives, so that a caller survives two VM failures within one Keep.
+	// alternatives, so that a caller survives two VM failures within one AnswerTTL.
 	MaxAddresses = 3
 	// loadSteps is the number of steps to which loads are rounded, so that a caller's
 	// first choice doesn't change with every load report.
@@ -47,12 +47,12 @@
 	Load uint16
 	// Leaving reports that the VM drains or that the platform removes it.
 	Leaving bool
-	// Doubtful reports that the VM is suspected to be down.
-	Doubtful bool
+	// Suspected reports that the VM is suspected to be down.
+	Suspected bool
 }
 
-// Question describes the caller.
-type Question struct {
+// Query describes the caller.
+type Query struct {
 	// Caller identifies the caller across requests: its client account and, if known, its address.
 	Caller string
 	// DataCentre is the data centre nearest to the caller, empty if unknown.
@@ -62,8 +62,8 @@
 // View is the answering VM's state of the fleet.
 type View struct {
 	Candidates []Candidate
-	// Out reports whether operators took a data centre out of service; nil means none.
-	Out func(dataCentre string) bool
+	// IsOut reports whether operators took a data centre out of service; nil means none.
+	IsOut func(dataCentre string) bool
 	// Distance returns the distance between two data centres; smaller is nearer. If it is
 	// nil, the distance is 0 within a data centre and 1 between two.
 	Distance func(from, to string) int
@@ -81,19 +81,19 @@
 // same distance by rendezvous hashing weighted by free capacity. It never names VMs
 // that leave or whose data centre is out of service, and names suspected VMs after
 // all others.
-func Choose(q Question, v View) Answer {
+func Choose(q Query, v View) Answer {
 	usable := slices.DeleteFunc(slices.Clone(v.Candidates), func(c Candidate) bool {
-		return c.Leaving || c.Address == "" || (v.Out != nil && v.Out(c.DataCentre))
+		return c.Leaving || c.Address == "" || (v.IsOut != nil && v.IsOut(c.DataCentre))
 	})
 	slices.SortFunc(usable, func(a, b Candidate) int {
 		return cmp.Or(
-			compareBool(a.Doubtful, b.Doubtful),
+			compareBool(a.Suspected, b.Suspected),
 			cmp.Compare(v.distance(q.DataCentre, a), v.distance(q.DataCentre, b)),
 			cmp.Compare(score(q.Caller, b), score(q.Caller, a)),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	answer := Answer{Keep: Keep}
+	answer := Answer{Keep: AnswerTTL}
 	for _, c := range usable[:min(len(usable), MaxAddresses)] {
 		answer.Addresses = append(answer.Addresses, c.Address)
 	}
--- a/fleet/address/address_test.go
+++ b/fleet/address/address_test.go
@@ -17,7 +17,7 @@
 			ID: fmt.Sprintf("vm-%d", i), Address: fmt.Sprintf("10.0.0.%d:80", i),
 			DataCentre: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "dc"),
 			Load:       rapid.Uint16Range(0, 1000).Draw(t, "load"),
-			Leaving:    rapid.Bool().Draw(t, "leaving"), Doubtful: rapid.Bool().Draw(t, "doubtful"),
+			Leaving:    rapid.Bool().Draw(t, "leaving"), Suspected: rapid.Bool().Draw(t, "doubtful"),
 		}
 	}
 	return all
@@ -30,8 +30,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawCandidates(t)
 		out := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "out")
-		q := Question{Caller: rapid.StringMatching(`[a-z]{1,6}`).Draw(t, "caller"), DataCentre: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "near")}
-		view := func(c []Candidate) View { return View{Candidates: c, Out: func(dc string) bool { return dc == out }} }
+		q := Query{Caller: rapid.StringMatching(`[a-z]{1,6}`).Draw(t, "caller"), DataCentre: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "near")}
+		view := func(c []Candidate) View { return View{Candidates: c, IsOut: func(dc string) bool { return dc == out }} }
 		answer := Choose(q, view(all))
 		byAddress := map[string]Candidate{}
 		may := 0
@@ -58,7 +58,7 @@
 
 // One VM of four is nearly full. Callers must be spread over the near VMs in proportion
 // to their free capacity, or the full VM would still get an equal share.
-func TestChooseSpreadsByRoom(t *testing.T) {
+func TestChooseSpreadsByFreeCapacity(t *testing.T) {
 	const callers = 8000
 	view := View{Candidates: []Candidate{
 		{ID: "a1", Address: "a1", DataCentre: "a"}, {ID: "a2", Address: "a2", DataCentre: "a"},
@@ -66,7 +66,7 @@
 	}}
 	first := map[string]int{}
 	for i := range callers {
-		first[Choose(Question{Caller: fmt.Sprint(i), DataCentre: "a"}, view).Addresses[0]]++
+		first[Choose(Query{Caller: fmt.Sprint(i), DataCentre: "a"}, view).Addresses[0]]++
 	}
 	require.Zero(t, first["b1"])
 	// The free capacities are 4, 4 and 1 of 9; five standard deviations are about 220.
--- a/fleet/datagram/datagram_test.go
+++ b/fleet/datagram/datagram_test.go
@@ -15,7 +15,7 @@
 
 // A packet must arrive with the address for an answer, and the end of the context must end both
 // sides without a leaked goroutine.
-func TestThereAndBack(t *testing.T) {
+func TestPacketIsAnswered(t *testing.T) {
 	traffic := NewTraffic(prometheus.NewRegistry())
 	a, err := Listen("127.0.0.1:0", "a", traffic)
 	require.NoError(t, err)
--- a/fleet/gossip/service.go
+++ b/fleet/gossip/service.go
@@ -21,11 +21,11 @@
 	Clock func() time.Duration
 	// Ready reports whether callers may be sent to this VM.
 	Ready func() bool
-	// Payload returns this VM's part of the fleet's sums, empty for none; Take is called with the
+	// Payload returns this VM's part of the fleet's sums, empty for none; HandlePayload is called with the
 	// payloads of other VMs.
-	Payload func() []byte
-	Take    func(from string, incarnation uint64, payload []byte)
-	Log     zerolog.Logger
+	Payload       func() []byte
+	HandlePayload func(from string, incarnation uint64, payload []byte)
+	Log           zerolog.Logger
 	// Registerer registers the metrics and Traffic counts the packets; both are required.
 	Registerer prometheus.Registerer
 	Traffic    *datagram.Traffic
@@ -67,8 +67,8 @@
 // Table returns the state of the other VMs.
 func (s *Service) Table() *Table { return s.table }
 
-// Nudge makes Run send a round at once, for example when this VM stops being ready.
-func (s *Service) Nudge() {
+// TriggerRound makes Run send a round at once, for example when this VM stops being ready.
+func (s *Service) TriggerRound() {
 	select {
 	case s.trigger <- struct{}{}:
 	default:
@@ -100,14 +100,14 @@
 func (s *Service) send(rng *rand.Rand) {
 	payload := s.cfg.Payload()
 	for _, b := range s.table.Round(s.cfg.Clock(), rng, len(payload) > 0) {
-		s.sendTo(b.To, payload, b.Others, b.Words)
+		s.sendTo(b.To, payload, b.Others, b.Reports)
 	}
 }
 
 func (s *Service) sendTo(to []string, payload []byte, others []Member, reports Reports) {
 	m := Message{
-		From: s.cfg.Self, Life: s.incarnation, Sequence: s.sequence.Add(1), Ready: s.cfg.Ready(),
-		Payload: payload, Others: others, Words: reports,
+		From: s.cfg.Self, Incarnation: s.incarnation, Sequence: s.sequence.Add(1), Ready: s.cfg.Ready(),
+		Payload: payload, Others: others, Reports: reports,
 	}
 	b, err := cbor.Marshal(&m)
 	if err != nil || len(b) > datagram.MaxPacketSize {
@@ -133,7 +133,7 @@
 		s.received.WithLabelValues("unreadable").Inc()
 		return
 	}
-	ok, newIncarnation := s.table.Heard(s.cfg.Clock(), &m)
+	ok, newIncarnation := s.table.Apply(s.cfg.Clock(), &m)
 	if !ok {
 		s.received.WithLabelValues("old").Inc()
 		return
@@ -144,6 +144,6 @@
 		s.sendTo([]string{m.From.Peer}, s.cfg.Payload(), nil, nil)
 	}
 	if len(m.Payload) > 0 {
-		s.cfg.Take(m.From.Name, m.Life, m.Payload)
+		s.cfg.HandlePayload(m.From.Name, m.Incarnation, m.Payload)
 	}
 }
--- a/fleet/gossip/table.go
+++ b/fleet/gossip/table.go
@@ -59,8 +59,8 @@
 // Message is the content of a datagram.
 type Message struct {
 	From Member `cbor:"1,keyasint"`
-	// Life is a random number that identifies the incarnation, one run of the VM's process.
-	Life uint64 `cbor:"2,keyasint"`
+	// Incarnation is a random number that identifies the incarnation, one run of the VM's process.
+	Incarnation uint64 `cbor:"2,keyasint"`
 	// Sequence orders the messages of one incarnation.
 	Sequence uint64 `cbor:"3,keyasint"`
 	// Ready reports whether callers may be sent to the sender.
@@ -69,8 +69,8 @@
 	Payload []byte `cbor:"5,keyasint,omitempty"`
 	// Others are some of the members that the sender knows to be alive.
 	Others []Member `cbor:"6,keyasint,omitempty"`
-	// Words holds reports on other VMs, based on the sender's own state and on reports to it.
-	Words Reports `cbor:"7,keyasint,omitempty"`
+	// Reports holds reports on other VMs, based on the sender's own state and on reports to it.
+	Reports Reports `cbor:"7,keyasint,omitempty"`
 }
 
 // peer is the state of another VM; its times are those of the Table's clock.
@@ -120,10 +120,10 @@
 	t.byHash[hashOf(p.Name)] = p
 }
 
-// Heard applies a received message; ok is false if a later message of the sender is known.
+// Apply applies a received message; ok is false if a later message of the sender is known.
 // newIncarnation reports that the message is the first of an incarnation, whose VM knows no
 // others yet and waits for an answer.
-func (t *Table) Heard(now time.Duration, m *Message) (ok, newIncarnation bool) {
+func (t *Table) Apply(now time.Duration, m *Message) (ok, newIncarnation bool) {
 	if m.From.Name == "" || m.From.Name == t.self.Name {
 		return false, false
 	}
@@ -133,13 +133,13 @@
 		p = &peer{Member: m.From, learntAt: now}
 		t.add(p)
 	}
-	if p.incarnation == m.Life && p.sequence >= m.Sequence {
+	if p.incarnation == m.Incarnation && p.sequence >= m.Sequence {
 		t.mu.Unlock()
 		return false, false
 	}
-	newIncarnation = p.incarnation != m.Life
-	p.Member, p.incarnation, p.sequence, p.ready, p.heardAt = m.From, m.Life, m.Sequence, m.Ready, now
-	t.applyReports(now, m.Words)
+	newIncarnation = p.incarnation != m.Incarnation
+	p.Member, p.incarnation, p.sequence, p.ready, p.heardAt = m.From, m.Incarnation, m.Sequence, m.Ready, now
+	t.applyReports(now, m.Reports)
 	t.mu.Unlock()
 	t.Learn(now, m.Others...)
 	return true, newIncarnation
@@ -236,8 +236,8 @@
 	return heard
 }
 
-// Alive returns the number of VMs that are alive, this one included.
-func (t *Table) Alive(now time.Duration) int {
+// AliveCount returns the number of VMs that are alive, this one included.
+func (t *Table) AliveCount(now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 1
@@ -249,8 +249,8 @@
 	return n
 }
 
-// Names returns the sorted names of the VMs that are alive, this one included.
-func (t *Table) Names(now time.Duration) []string {
+// AliveNames returns the sorted names of the VMs that are alive, this one included.
+func (t *Table) AliveNames(now time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []string{t.self.Name}
@@ -268,9 +268,9 @@
 
 // Batch is the content of a datagram of a round and its receivers.
 type Batch struct {
-	To     []string // addresses
-	Others []Member // members to name
-	Words  Reports  // on some of the VMs that are alive
+	To      []string // addresses
+	Others  []Member // members to name
+	Reports Reports  // on some of the VMs that are alive
 }
 
 // Round returns the datagrams of a round. It prefers the receivers whose last datagram is the
@@ -314,7 +314,7 @@
 			batch.To = append(batch.To, p.Peer)
 		}
 		shuffle(rng, part.about)
-		batch.Others, batch.Words = t.describe(now, part.about)
+		batch.Others, batch.Reports = t.describe(now, part.about)
 		out = append(out, batch)
 	}
 	return out
--- a/fleet/gossip/table_test.go
+++ b/fleet/gossip/table_test.go
@@ -69,13 +69,13 @@
 	if member(i).DataCentre != member(j).DataCentre {
 		f.remote++
 	}
-	m := &Message{From: member(i), Life: f.incarnation[i], Sequence: f.seq[i], Ready: f.ready[i], Others: batch.Others, Words: batch.Words}
+	m := &Message{From: member(i), Incarnation: f.incarnation[i], Sequence: f.seq[i], Ready: f.ready[i], Others: batch.Others, Reports: batch.Reports}
 	if f.countBytes {
 		b, _ := cbor.Marshal(m) // an error leaves the byte count at 0, which fails the test
 		f.bytes += len(b)
 	}
 	if !f.stopped[j] && f.rng.IntN(100) > 0 {
-		f.tables[j].Heard(now, m)
+		f.tables[j].Apply(now, m)
 	}
 }
 
@@ -94,7 +94,7 @@
 
 // VMs that each know one other VM must find all others within seconds, and the datagrams that a
 // VM sends must stay within the fanout.
-func TestFleetMeets(t *testing.T) {
+func TestMembersFindEachOther(t *testing.T) {
 	for _, n := range []int{2, 7, 91} {
 		f := newFleet(n)
 		f.run(0, 20*time.Second)
@@ -165,19 +165,19 @@
 
 // Datagrams are reordered: an old one that says ready arrives after a newer one that says not
 // ready. The old one must be ignored.
-func TestOldDatagramChangesNothing(t *testing.T) {
+func TestReorderedDatagramIsIgnored(t *testing.T) {
 	tb := NewTable(member(0))
-	ok, met := tb.Heard(time.Second, &Message{From: member(1), Life: 1, Sequence: 5, Ready: false})
+	ok, met := tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 5, Ready: false})
 	require.True(t, ok)
 	require.True(t, met)
-	ok, met = tb.Heard(time.Second, &Message{From: member(1), Life: 1, Sequence: 4, Ready: true})
+	ok, met = tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 4, Ready: true})
 	require.False(t, ok)
 	require.False(t, met)
 	require.Empty(t, tb.Usable(time.Second, ""))
 }
 
 // After a suspension, the state of all other VMs is stale, since the clock continued.
-func TestSleepMakesViewsOld(t *testing.T) {
+func TestSuspensionMakesStateStale(t *testing.T) {
 	f := newFleet(3)
 	f.run(0, 5*time.Second)
 	require.Len(t, f.tables[0].Usable(5*time.Second, ""), 2)
@@ -207,7 +207,7 @@
 
 // Two services over loopback must receive each other's payloads, and ignore a packet that isn't
 // a message.
-func TestServicesHearEachOther(t *testing.T) {
+func TestServicesExchangePayloads(t *testing.T) {
 	start := time.Now()
 	var services []*Service
 	got := make(chan string, 100)
@@ -215,9 +215,9 @@
 		s, err := Listen(Config{
 			Self:  Member{Name: fmt.Sprint("vm", i), Peer: "127.0.0.1:0", Front: fmt.Sprint("f", i)},
 			Clock: func() time.Duration { return time.Second + time.Since(start) }, Ready: func() bool { return true },
-			Payload: func() []byte { return []byte{byte('a' + i)} },
-			Take:    func(from string, _ uint64, p []byte) { got <- from + string(p) },
-			Log:     zerolog.Nop(), Registerer: prometheus.NewRegistry(), Traffic: datagram.NewTraffic(prometheus.NewRegistry()),
+			Payload:       func() []byte { return []byte{byte('a' + i)} },
+			HandlePayload: func(from string, _ uint64, p []byte) { got <- from + string(p) },
+			Log:           zerolog.Nop(), Registerer: prometheus.NewRegistry(), Traffic: datagram.NewTraffic(prometheus.NewRegistry()),
 		})
 		require.NoError(t, err)
 		s.cfg.Self.Peer = s.socket.Addr()
@@ -236,14 +236,14 @@
 }
 
 func FuzzMessage(f *testing.F) {
-	b, err := cbor.Marshal(&Message{From: member(1), Life: 1, Sequence: 1, Ready: true, Others: []Member{member(2)}})
+	b, err := cbor.Marshal(&Message{From: member(1), Incarnation: 1, Sequence: 1, Ready: true, Others: []Member{member(2)}})
 	require.NoError(f, err)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m Message
 		if cbor.Unmarshal(b, &m) == nil {
 			tb := NewTable(member(0))
-			tb.Heard(time.Second, &m)
+			tb.Apply(time.Second, &m)
 			tb.Round(time.Second, rand.New(rand.NewPCG(1, 1)), true)
 		}
 	})
@@ -253,7 +253,7 @@
 // must count nearly all others as alive: a VM that is missed for a moment is left out of answers
 // and changes the peers that VMs read from. Traffic between data centres is billed and must be
 // low.
-func TestCalmFleetIsHeard(t *testing.T) {
+func TestFleetWithoutFailuresStaysAlive(t *testing.T) {
 	const n, rounds = 91, 100
 	f := newFleet(n)
 	f.run(0, 20*time.Second)
@@ -276,7 +276,7 @@
 
 // Half of 300 VMs are killed and restart with a list of all members. Each VM must count nearly
 // all others as alive within two seconds, when the restarted VMs choose the peers to read from.
-func TestLargeFleetHearsOfAll(t *testing.T) {
+func TestLargeFleetAfterRestart(t *testing.T) {
 	const n = 300
 	f := newFleet(n)
 	learn := func(now time.Duration, tb *Table) {
@@ -305,7 +305,7 @@
 
 // Guards against a packed age that is lower than the real one, which would make a dead VM look
 // alive, and against trailing bytes that aren't a whole report.
-func TestWordsArePacked(t *testing.T) {
+func TestReportsArePacked(t *testing.T) {
 	var rs Reports
 	in := []report{{hash: 1, age: 0, ready: true}, {hash: 1 << 31, age: 120 * time.Millisecond}, {hash: 7, age: maxAge, ready: true}}
 	for _, r := range in {
@@ -319,7 +319,7 @@
 
 // Guards against VMs that learn of each other at the same time and then all send to the same
 // receivers in each round.
-func TestVMsThatStartTogetherHearOfAll(t *testing.T) {
+func TestVMsThatStartTogetherSpreadDatagrams(t *testing.T) {
 	const n, rounds = 91, 50
 	f := newFleet(n)
 	for _, tb := range f.tables {
--- a/fleet/member/candidates.go
+++ b/fleet/member/candidates.go
@@ -17,6 +17,6 @@
 func candidate(d Digest, leaving, doubtful bool) address.Candidate {
 	return address.Candidate{
 		ID: d.ID, Address: d.CallerAddress, DataCentre: d.DataCentre,
-		Load: d.Load, Leaving: leaving, Doubtful: doubtful,
+		Load: d.Load, Leaving: leaving, Suspected: doubtful,
 	}
 }
--- a/fleet/member/service_test.go
+++ b/fleet/member/service_test.go
@@ -16,8 +16,8 @@
 )
 
 // A VM begins a planned stop while one datagram in ten is lost. Callers keep an answer
-// for address.Keep and the VM serves for address.Drain, so no VM may return its address
-// after address.Spread; otherwise a caller would connect to a stopped VM.
+// for address.AnswerTTL and the VM serves for address.DrainTime, so no VM may return its address
+// after address.DrainPropagation; otherwise a caller would connect to a stopped VM.
 func TestDrainingVMIsNamedNoLongerThanSpread(t *testing.T) {
 	f := newFleet(112, 6)
 	require.Less(t, f.until(90, f.converged), 90)
@@ -25,8 +25,8 @@
 	leaver.Drain()
 	f.loss = 0.1
 	known := f.until(60, func() bool { return f.allDraining(vmID(8)) })
-	require.LessOrEqual(t, time.Duration(known)*Tick, address.Spread)
-	require.GreaterOrEqual(t, address.Drain, address.Spread+address.Keep)
+	require.LessOrEqual(t, time.Duration(known)*Tick, address.DrainPropagation)
+	require.GreaterOrEqual(t, address.DrainTime, address.DrainPropagation+address.AnswerTTL)
 	for i := range 12 {
 		require.False(t, f.offers(f.tables[vmID(i)], leaver.self.CallerAddress))
 	}
@@ -36,7 +36,7 @@
 func (f *fleet) offers(by *Table, addr string) bool {
 	view := address.View{Candidates: Candidates(by.Self(), by.Members(f.now))}
 	for i := range 20 {
-		for _, named := range address.Choose(address.Question{Caller: fmt.Sprint(i)}, view).Addresses {
+		for _, named := range address.Choose(address.Query{Caller: fmt.Sprint(i)}, view).Addresses {
 			if named == addr {
 				return true
 			}
--- a/fleet/rendezvous/rendezvous.go
+++ b/fleet/rendezvous/rendezvous.go
@@ -14,14 +14,14 @@
 )
 
 // Weight returns the weight of id for key; the id with the highest weight ranks first.
-func Weight(key, id string) uint64 { return Mark(key).Weight(Mark(id)) }
+func Weight(key, id string) uint64 { return HashOf(key).Weight(HashOf(id)) }
 
 // Hash is the hash of a key or an id, from which weights are computed. Callers that compare one
 // key with thousands of ids keep the hashes.
 type Hash uint64
 
-// Mark returns the hash of a key or an id.
-func Mark(s string) Hash { return Hash(xxhash.Sum64String(s)) }
+// HashOf returns the hash of a key or an id.
+func HashOf(s string) Hash { return Hash(xxhash.Sum64String(s)) }
 
 // Short returns the lower 32 bits, enough to identify one of thousands of ids in messages.
 func (h Hash) Short() uint32 { return uint32(h) }
@@ -56,14 +56,14 @@
 	return RankBy(key, ids, func(id string) string { return id })
 }
 
-// Place returns the position of id in the order of ids for key, from 0, or -1 if ids doesn't
+// Position returns the position of id in the order of ids for key, from 0, or -1 if ids doesn't
 // contain it. It doesn't allocate: for 300 ids it takes 4 us, while Rank takes 66 us.
-func Place(key, id string, ids []string) int {
-	k := Mark(key)
-	own := k.Weight(Mark(id))
+func Position(key, id string, ids []string) int {
+	k := HashOf(key)
+	own := k.Weight(HashOf(id))
 	place, found := 0, false
 	for _, other := range ids {
-		w := k.Weight(Mark(other))
+		w := k.Weight(HashOf(other))
 		switch {
 		case other == id:
 			found = true
--- a/fleet/rendezvous/rendezvous_test.go
+++ b/fleet/rendezvous/rendezvous_test.go
@@ -58,16 +58,16 @@
 	}
 }
 
-// Place must return the index of an id in Rank's result, without computing the whole order.
-func TestPlaceIsThatOfTheRank(t *testing.T) {
+// Position must return the index of an id in Rank's result, without computing the whole order.
+func TestPositionMatchesRank(t *testing.T) {
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprint("vm", i))
 	}
 	for key := range 50 {
 		for place, id := range Rank(fmt.Sprint(key), ids) {
-			require.Equal(t, place, Place(fmt.Sprint(key), id, ids))
+			require.Equal(t, place, Position(fmt.Sprint(key), id, ids))
 		}
 	}
-	require.Equal(t, -1, Place("key", "unknown", ids))
+	require.Equal(t, -1, Position("key", "unknown", ids))
 }
--- a/fleet/slot/doc.go
+++ b/fleet/slot/doc.go
@@ -13,7 +13,7 @@
 //
 // Two processes never use one slot at the same time, for these reasons:
 //   - A process uses the slots of an epoch only while its evidence that the epoch is
-//     current is younger than Params.Evidence by its own clock. Evidence is dated at
+//     current is younger than Params.MaxEvidenceAge by its own clock. Evidence is dated at
 //     the start of the platform read that returned the epoch, so the epoch was current
 //     at that time or later.
 //   - A process that gains a slot learns of the new epoch after the write, hence after
--- a/fleet/slot/follow.go
+++ b/fleet/slot/follow.go
@@ -46,7 +46,7 @@
 // Run keeps the epoch and its evidence up to date until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for {
-		wait := s.o.Params.Evidence / readsPerEvidence
+		wait := s.o.Params.MaxEvidenceAge / readsPerEvidence
 		if !s.round(ctx) {
 			wait = min(wait, outageInterval)
 		}
--- a/fleet/slot/model_test.go
+++ b/fleet/slot/model_test.go
@@ -78,7 +78,7 @@
 
 const modelStep = 250 * time.Millisecond
 
-var modelParams = Params{Evidence: 6 * time.Second, Start: 2 * time.Second, Job: 6 * time.Second, Drift: 1000}
+var modelParams = Params{MaxEvidenceAge: 6 * time.Second, Start: 2 * time.Second, MaxJob: 6 * time.Second, Drift: 1000}
 
 func newModel(seed uint64, p policy, f faults, procs, limit int) *model {
 	m := &model{
@@ -456,7 +456,7 @@
 	}
 	// Half of the jobs take the longest time allowed, since faults in the bounds show
 	// there.
-	took := m.params.Job - modelStep
+	took := m.params.MaxJob - modelStep
 	if m.random.IntN(2) == 0 {
 		took = m.randomUpTo(took)
 	}
--- a/fleet/slot/service_test.go
+++ b/fleet/slot/service_test.go
@@ -119,7 +119,7 @@
 			}
 			synctest.Wait()
 		}
-		time.Sleep(Defaults.Wait() + 3*Defaults.Evidence)
+		time.Sleep(Defaults.Wait() + 3*Defaults.MaxEvidenceAge)
 		check(3)
 		check(3)
 		platform.SetFaults(store.Faults{Down: true})
@@ -128,10 +128,10 @@
 		b.mu.Lock()
 		b.partitioned["vm-004"] = true
 		b.mu.Unlock()
-		time.Sleep(2 * Defaults.Evidence)
+		time.Sleep(2 * Defaults.MaxEvidenceAge)
 		check(0)
 		platform.SetFaults(store.Faults{})
-		time.Sleep(Defaults.Evidence)
+		time.Sleep(Defaults.MaxEvidenceAge)
 		require.True(t, all[4].Dump(time.Now()).Valid)
 		cancel()
 		running.Wait()
--- a/fleet/slot/table.go
+++ b/fleet/slot/table.go
@@ -113,7 +113,7 @@
 
 // Valid reports whether the evidence is still valid, so that own slots may be used.
 func (t *Table) Valid(now time.Time) bool {
-	return !t.evidence.IsZero() && now.Sub(t.evidence) < t.params.Evidence
+	return !t.evidence.IsZero() && now.Sub(t.evidence) < t.params.MaxEvidenceAge
 }
 
 // Observe applies an epoch read from the platform. askedAt is when the read began: the
--- a/fleet/sticky/board.go
+++ b/fleet/sticky/board.go
@@ -20,9 +20,9 @@
 	Key Key
 	// Holder identifies the request.
 	Holder uint64
-	// Longest is the longest time that the request may last. Without a Release the hold ends
+	// MaxDuration is the longest time that the request may last. Without a Release the hold ends
 	// after it.
-	Longest time.Duration
+	MaxDuration time.Duration
 	// Proposal is the value that the key takes if it has none, or the one to Set.
 	Proposal Value
 	// Rank orders decisions that are made by Set: a later decision has a higher rank. Hold
@@ -37,8 +37,8 @@
 	// Value is the value that the key takes if it has none. None means that the request never
 	// ran, and then it doesn't extend the key's retention.
 	Value Value
-	// Rest is how long the key is kept after the request.
-	Rest time.Duration
+	// Retention is how long the key is kept after the request.
+	Retention time.Duration
 }
 
 // Replica is the state of a key as one VM sends it to a keeper.
@@ -50,8 +50,8 @@
 	Age, Retention time.Duration
 }
 
-// Held is a keeper's answer to a Hold.
-type Held struct {
+// HoldResult is a keeper's answer to a Hold.
+type HoldResult struct {
 	Value Value
 	// Rank is the rank of the decision on the value, 0 if it was a proposal.
 	Rank uint8
@@ -104,19 +104,19 @@
 func NewStore() *Store { return &Store{entries: make(map[Key]*entry)} }
 
 // Hold holds the key and returns its value; a key without a value takes the proposal.
-func (s *Store) Hold(now time.Duration, h Hold) Held {
+func (s *Store) Hold(now time.Duration, h Hold) HoldResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, known := s.lookup(now, h.Key)
 	if e == nil {
-		return Held{Value: h.Proposal}
+		return HoldResult{Value: h.Proposal}
 	}
-	e.holds[h.Holder] = now + h.Longest
+	e.holds[h.Holder] = now + h.MaxDuration
 	if !known {
 		e.value = h.Proposal
-		return Held{Value: e.value}
+		return HoldResult{Value: e.value}
 	}
-	return Held{Value: e.value, Rank: e.rank, Age: max(now-e.since, 1)}
+	return HoldResult{Value: e.value, Rank: e.rank, Age: max(now-e.since, 1)}
 }
 
 // Set holds the key and makes the proposal its value, unless a decision of a higher rank is known.
@@ -127,7 +127,7 @@
 	if e == nil {
 		return
 	}
-	e.holds[h.Holder] = now + h.Longest
+	e.holds[h.Holder] = now + h.MaxDuration
 	if h.Rank >= e.rank {
 		e.value, e.rank = h.Proposal, h.Rank
 	}
@@ -149,7 +149,7 @@
 	e.until = max(e.until, now+c.Retention)
 }
 
-// Release ends a hold and keeps the key for r.Rest, or removes a key that isn't live if the
+// Release ends a hold and keeps the key for r.Retention, or removes a key that isn't live if the
 // request never ran.
 func (s *Store) Release(now time.Duration, r Release) {
 	s.mu.Lock()
@@ -164,7 +164,7 @@
 		if !known {
 			e.value = r.Value
 		}
-		e.until = max(e.until, now+r.Rest)
+		e.until = max(e.until, now+r.Retention)
 	case !known || !e.live(now):
 		delete(s.entries, r.Key)
 	}
--- a/fleet/sticky/ring.go
+++ b/fleet/sticky/ring.go
@@ -13,7 +13,7 @@
 type Key = rendezvous.Hash
 
 // KeyOf returns the key of a name.
-func KeyOf(name string) Key { return rendezvous.Mark(name) }
+func KeyOf(name string) Key { return rendezvous.HashOf(name) }
 
 // Keeper is a VM that can store keys. Address is passed to Config.Send.
 type Keeper struct{ Name, Address string }
@@ -28,7 +28,7 @@
 func NewRing(keepers ...Keeper) *Ring {
 	r := &Ring{keepers: keepers, hashes: make([]rendezvous.Hash, len(keepers))}
 	for i, k := range keepers {
-		r.hashes[i] = rendezvous.Mark(k.Name)
+		r.hashes[i] = rendezvous.HashOf(k.Name)
 	}
 	return r
 }
--- a/fleet/sticky/service.go
+++ b/fleet/sticky/service.go
@@ -41,7 +41,7 @@
 
 const (
 	kindHold    kind = iota + 1 // a Hold; answered by kindHeld
-	kindHeld                    // a Held
+	kindHeld                    // a HoldResult
 	kindSet                     // a Hold whose proposal is Set; has no answer
 	kindRelease                 // a Release; has no answer
 	kindReplica                 // a Replica; has no answer
@@ -70,7 +70,7 @@
 }
 
 func (m *message) hold() Hold {
-	return Hold{Key: m.Key, Holder: m.Holder, Longest: m.retention(), Proposal: m.Value, Rank: m.Rank}
+	return Hold{Key: m.Key, Holder: m.Holder, MaxDuration: m.retention(), Proposal: m.Value, Rank: m.Rank}
 }
 
 // Service asks the keepers of keys, and stores the keys of which this VM is a keeper.
@@ -80,13 +80,13 @@
 	holds *prometheus.CounterVec
 
 	mu       sync.Mutex
-	waiting  map[uint64]chan Held
+	waiting  map[uint64]chan HoldResult
 	lastRing *Ring // ring at the last Rebalance, nil before the first
 }
 
 // New returns a service. Packets from other VMs must be passed to Receive.
 func New(cfg Config) *Service {
-	s := &Service{cfg: cfg, store: NewStore(), waiting: make(map[uint64]chan Held), holds: prometheus.NewCounterVec(prometheus.CounterOpts{
+	s := &Service{cfg: cfg, store: NewStore(), waiting: make(map[uint64]chan HoldResult), holds: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "goldcrest_sticky_holds_total", Help: "Queries for a key's value, by result.",
 	}, []string{"result"})}
 	cfg.Registerer.MustRegister(s.holds)
@@ -95,16 +95,16 @@
 
 // Hold holds the key at its keepers and returns its value; ok is false if no keeper answered. It
 // waits for at most maxAttempts*askTimeout, and no longer than ctx.
-func (s *Service) Hold(ctx context.Context, h Hold) (out Held, ok bool) {
+func (s *Service) Hold(ctx context.Context, h Hold) (out HoldResult, ok bool) {
 	keepers := s.cfg.Ring().Keepers(h.Key)
 	answers := s.ask(ctx, keepers, h)
 	if len(answers) == 0 {
 		s.holds.WithLabelValues("silent").Inc()
-		return Held{}, false
+		return HoldResult{}, false
 	}
 	// The decision of the highest rank wins; at the same rank, the keeper that has known the key
 	// for longest: the other one may have lost its memory and stored a proposal since.
-	out = slices.MaxFunc(answers, func(a, b Held) int { return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Age, b.Age)) })
+	out = slices.MaxFunc(answers, func(a, b HoldResult) int { return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.Age, b.Age)) })
 	if out.Age > 0 {
 		s.holds.WithLabelValues("known").Inc()
 	} else {
@@ -116,10 +116,10 @@
 
 // ask returns the answers in the order of keepers. It asks silent keepers again unless another
 // one knows the key.
-func (s *Service) ask(ctx context.Context, keepers []Keeper, h Hold) []Held {
+func (s *Service) ask(ctx context.Context, keepers []Keeper, h Hold) []HoldResult {
 	id, in := s.register()
 	defer s.unregister(id)
-	got := make(map[string]Held)
+	got := make(map[string]HoldResult)
 	knows := func() bool {
 		for _, a := range got {
 			if a.Age > 0 {
@@ -136,7 +136,7 @@
 		}
 		s.collect(ctx, in, got, len(keepers))
 	}
-	var out []Held
+	var out []HoldResult
 	for _, k := range keepers {
 		if a, ok := got[k.Name]; ok {
 			out = append(out, a)
@@ -146,18 +146,18 @@
 }
 
 // askKeeper sends the query to one keeper. If that is this VM, the answer is added to got at once.
-func (s *Service) askKeeper(k Keeper, id uint64, h Hold, got map[string]Held) {
+func (s *Service) askKeeper(k Keeper, id uint64, h Hold, got map[string]HoldResult) {
 	if k.Name == s.cfg.Self {
 		a := s.store.Hold(s.cfg.Clock(), h)
 		a.Keeper = k.Name
 		got[k.Name] = a
 		return
 	}
-	s.send(k, message{Kind: kindHold, RequestID: id, Key: h.Key, Holder: h.Holder, Value: h.Proposal, KeepForMs: h.Longest.Milliseconds()})
+	s.send(k, message{Kind: kindHold, RequestID: id, Key: h.Key, Holder: h.Holder, Value: h.Proposal, KeepForMs: h.MaxDuration.Milliseconds()})
 }
 
 // collect adds answers to got until all keepers have answered, for at most askTimeout.
-func (s *Service) collect(ctx context.Context, in <-chan Held, got map[string]Held, keepers int) {
+func (s *Service) collect(ctx context.Context, in <-chan HoldResult, got map[string]HoldResult, keepers int) {
 	t := time.NewTimer(askTimeout)
 	defer t.Stop()
 	for len(got) < keepers {
@@ -176,14 +176,14 @@
 
 // correct sends the right value to the keepers that answered with another one, and to silent ones
 // that may have stored the proposal instead.
-func (s *Service) correct(keepers []Keeper, answers []Held, h Hold, right Held) {
+func (s *Service) correct(keepers []Keeper, answers []HoldResult, h Hold, right HoldResult) {
 	for _, k := range keepers {
 		answered := h.Proposal
-		if i := slices.IndexFunc(answers, func(a Held) bool { return a.Keeper == k.Name }); i >= 0 {
+		if i := slices.IndexFunc(answers, func(a HoldResult) bool { return a.Keeper == k.Name }); i >= 0 {
 			answered = answers[i].Value
 		}
 		if answered != right.Value {
-			s.sendReplica(k, Replica{Key: h.Key, Value: right.Value, Rank: right.Rank, Age: max(right.Age, 1), Retention: h.Longest})
+			s.sendReplica(k, Replica{Key: h.Key, Value: right.Value, Rank: right.Rank, Age: max(right.Age, 1), Retention: h.MaxDuration})
 		}
 	}
 }
@@ -192,7 +192,7 @@
 // of a higher rank. It doesn't wait for the keepers.
 func (s *Service) Set(h Hold) {
 	for _, k := range s.cfg.Ring().Keepers(h.Key) {
-		s.deliver(k, message{Kind: kindSet, Key: h.Key, Holder: h.Holder, Value: h.Proposal, Rank: h.Rank, KeepForMs: h.Longest.Milliseconds()})
+		s.deliver(k, message{Kind: kindSet, Key: h.Key, Holder: h.Holder, Value: h.Proposal, Rank: h.Rank, KeepForMs: h.MaxDuration.Milliseconds()})
 	}
 }
 
@@ -204,7 +204,7 @@
 // Release ends a hold at both keepers. It doesn't wait for them.
 func (s *Service) Release(r Release) {
 	for _, k := range s.cfg.Ring().Keepers(r.Key) {
-		s.deliver(k, message{Kind: kindRelease, Key: r.Key, Holder: r.Holder, Value: r.Value, KeepForMs: r.Rest.Milliseconds()})
+		s.deliver(k, message{Kind: kindRelease, Key: r.Key, Holder: r.Holder, Value: r.Value, KeepForMs: r.Retention.Milliseconds()})
 	}
 }
 
@@ -282,7 +282,7 @@
 		in := s.waiting[m.RequestID]
 		s.mu.Unlock()
 		select {
-		case in <- Held{Value: m.Value, Rank: m.Rank, Age: m.Age, Keeper: m.From}:
+		case in <- HoldResult{Value: m.Value, Rank: m.Rank, Age: m.Age, Keeper: m.From}:
 		default: // late, or of another incarnation of this VM
 		}
 	default:
@@ -299,13 +299,13 @@
 	case kindReplica:
 		s.store.Merge(now, Replica{Key: m.Key, Value: m.Value, Rank: m.Rank, Age: min(max(m.Age, 1), maxRetention), Retention: m.retention()})
 	case kindRelease:
-		s.store.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Rest: m.retention()})
+		s.store.Release(now, Release{Key: m.Key, Holder: m.Holder, Value: m.Value, Retention: m.retention()})
 	}
 }
 
 // register registers a query under a new ID, whose answers arrive on in.
-func (s *Service) register() (id uint64, in chan Held) {
-	id, in = rand.Uint64(), make(chan Held, replicas*maxAttempts)
+func (s *Service) register() (id uint64, in chan HoldResult) {
+	id, in = rand.Uint64(), make(chan HoldResult, replicas*maxAttempts)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting[id] = in
--- a/fleet/sticky/sticky_test.go
+++ b/fleet/sticky/sticky_test.go
@@ -54,8 +54,8 @@
 }
 
 // ask holds a key at a VM with a proposal.
-func (f *fleet) ask(t *testing.T, vm string, k Key, holder uint64, proposal Value) Held {
-	h, ok := f.vms[vm].Hold(t.Context(), Hold{Key: k, Holder: holder, Longest: 20 * time.Second, Proposal: proposal})
+func (f *fleet) ask(t *testing.T, vm string, k Key, holder uint64, proposal Value) HoldResult {
+	h, ok := f.vms[vm].Hold(t.Context(), Hold{Key: k, Holder: holder, MaxDuration: 20 * time.Second, Proposal: proposal})
 	require.True(t, ok)
 	return h
 }
@@ -81,20 +81,20 @@
 func TestKeyIsKeptForItsRequestsAndARest(t *testing.T) {
 	b, k := NewStore(), KeyOf("k")
 	hold := func(now time.Duration, holder uint64, proposal Value) Value {
-		return b.Hold(now, Hold{Key: k, Holder: holder, Longest: 10 * time.Second, Proposal: proposal}).Value
+		return b.Hold(now, Hold{Key: k, Holder: holder, MaxDuration: 10 * time.Second, Proposal: proposal}).Value
 	}
 	require.Equal(t, first, hold(0, 1, first))
 	require.Equal(t, first, hold(9*time.Second, 2, second))
-	b.Release(10*time.Second, Release{Key: k, Holder: 1, Value: first, Rest: 5 * time.Second})
+	b.Release(10*time.Second, Release{Key: k, Holder: 1, Value: first, Retention: 5 * time.Second})
 	require.Equal(t, first, hold(18*time.Second, 3, second), "held by the second request")
 	b.Release(18*time.Second, Release{Key: k, Holder: 3})
 	require.Equal(t, 1, b.Sweep(18999*time.Millisecond))
 	require.Equal(t, 0, b.Sweep(19*time.Second), "expired without a release")
 	require.Equal(t, second, hold(19*time.Second, 4, second))
-	b.Set(20*time.Second, Hold{Key: k, Holder: 5, Longest: time.Second, Proposal: first})
-	b.Release(20*time.Second, Release{Key: k, Holder: 4, Value: second, Rest: 5 * time.Second})
+	b.Set(20*time.Second, Hold{Key: k, Holder: 5, MaxDuration: time.Second, Proposal: first})
+	b.Release(20*time.Second, Release{Key: k, Holder: 4, Value: second, Retention: 5 * time.Second})
 	require.Equal(t, first, hold(24*time.Second, 6, second), "set while the request ran")
-	b.Release(time.Minute, Release{Key: k, Holder: 6, Value: second, Rest: 5 * time.Second})
+	b.Release(time.Minute, Release{Key: k, Holder: 6, Value: second, Retention: 5 * time.Second})
 	require.Equal(t, second, hold(time.Minute, 7, first), "released with a value while unknown")
 }
 
@@ -140,10 +140,10 @@
 		f.ask(t, "vm0", k, 1, first)
 		lost := NewRing(f.ring...).Keepers(k)[0]
 		f.lose = func(_, to string) bool { return to == lost.Name }
-		f.vms[f.other(lost)].Set(Hold{Key: k, Holder: 2, Longest: time.Minute, Proposal: second, Rank: 2})
+		f.vms[f.other(lost)].Set(Hold{Key: k, Holder: 2, MaxDuration: time.Minute, Proposal: second, Rank: 2})
 		f.lose = func(string, string) bool { return false }
 		require.Equal(t, second, f.ask(t, "vm0", k, 3, first).Value)
-		f.vms["vm0"].Set(Hold{Key: k, Holder: 4, Longest: time.Minute, Proposal: first, Rank: 1})
+		f.vms["vm0"].Set(Hold{Key: k, Holder: 4, MaxDuration: time.Minute, Proposal: first, Rank: 1})
 		require.Equal(t, second, f.ask(t, lost.Name, k, 5, first).Value)
 	})
 }
@@ -202,12 +202,12 @@
 			}
 		}
 		began := time.Now()
-		_, ok := f.vms[asker].Hold(t.Context(), Hold{Key: k, Holder: 1, Longest: time.Second, Proposal: first})
+		_, ok := f.vms[asker].Hold(t.Context(), Hold{Key: k, Holder: 1, MaxDuration: time.Second, Proposal: first})
 		require.False(t, ok)
 		require.Equal(t, maxAttempts*askTimeout, time.Since(began))
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, ok = f.vms[asker].Hold(ctx, Hold{Key: k, Holder: 1, Longest: time.Second, Proposal: first})
+		_, ok = f.vms[asker].Hold(ctx, Hold{Key: k, Holder: 1, MaxDuration: time.Second, Proposal: first})
 		require.False(t, ok)
 	})
 }
@@ -277,11 +277,11 @@
 	var asked uint64
 	for b.Loop() {
 		asked++
-		h := Hold{Key: KeyOf("k") + Key(asked%500), Holder: rand.Uint64(), Longest: 25 * time.Second, Proposal: first}
+		h := Hold{Key: KeyOf("k") + Key(asked%500), Holder: rand.Uint64(), MaxDuration: 25 * time.Second, Proposal: first}
 		if _, ok := f.vms["vm0"].Hold(b.Context(), h); !ok {
 			b.Fatal("no keeper answered")
 		}
-		f.vms["vm0"].Release(Release{Key: h.Key, Holder: h.Holder, Value: first, Rest: 7 * time.Second})
+		f.vms["vm0"].Release(Release{Key: h.Key, Holder: h.Holder, Value: first, Retention: 7 * time.Second})
 	}
 	b.ReportMetric(float64(sent)/float64(asked), "B/request")
 	b.ReportMetric(float64(packets)/float64(asked), "packets/request")
--- a/fleet/tally/board.go
+++ b/fleet/tally/board.go
@@ -30,16 +30,16 @@
 )
 
 // Entry is the work under way at one endpoint, in thousands of prompt tokens. Endpoint is the
-// hash that Mark returns.
+// hash that EndpointHash returns.
 type Entry struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32
 	Work     float32
 }
 
-// Mark returns the hash that identifies an endpoint in messages. Two endpoints with the same
+// EndpointHash returns the hash that identifies an endpoint in messages. Two endpoints with the same
 // hash, one pair in a few million, only appear busier than they are.
-func Mark(endpoint string) uint32 { return rendezvous.Mark(endpoint).Short() }
+func EndpointHash(endpoint string) uint32 { return rendezvous.HashOf(endpoint).Short() }
 
 // State is the load of the endpoints: one VM's in a report, that of all other VMs in an answer.
 type State struct {
--- a/fleet/tally/outcomes.go
+++ b/fleet/tally/outcomes.go
@@ -18,7 +18,7 @@
 )
 
 // Outcomes counts the recent attempts at one endpoint, in hundredths of attempts. Endpoint is
-// the hash that Mark returns.
+// the hash that EndpointHash returns.
 type Outcomes struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32
@@ -120,7 +120,7 @@
 	s.aggregator.RecordOutcomes(now, s.cfg.Self, s.incarnation, seq, own, false)
 	s.cfg.ApplyOutcomes(s.aggregator.OutcomeSums(now, true))
 	sums := s.aggregator.OutcomeSums(now, false)
-	for _, other := range s.cfg.Others() {
+	for _, other := range s.cfg.RemoteKeepers() {
 		s.send(other, message{Kind: kindOutcomeSums, Sequence: seq, Outcomes: sums})
 	}
 }
--- a/fleet/tally/outcomes_test.go
+++ b/fleet/tally/outcomes_test.go
@@ -32,12 +32,12 @@
 	b := NewAggregator()
 	var list []Outcomes
 	for i := range 2000 {
-		list = append(list, NewOutcomes(Mark(fmt.Sprint(i)), float64(100+i)/10, 300, false))
+		list = append(list, NewOutcomes(EndpointHash(fmt.Sprint(i)), float64(100+i)/10, 300, false))
 	}
 	b.RecordOutcomes(0, "vm", 1, 1, list, false)
 	got := b.OutcomeSums(0, true)
 	require.Len(t, got, maxOutcomes)
-	require.Equal(t, Mark("1999"), got[0].Endpoint)
+	require.Equal(t, EndpointHash("1999"), got[0].Endpoint)
 	raw, err := cbor.Marshal(&message{
 		Kind: kindFleetOutcomes, From: "front-a-long-data-centre-name-12", Incarnation: 1 << 63, Sequence: 1 << 40, Outcomes: got,
 	})
--- a/fleet/tally/service.go
+++ b/fleet/tally/service.go
@@ -44,8 +44,8 @@
 	// Keepers returns the VMs of this data centre that can be its keeper, this one included.
 	// VMs that know the same VMs must return the same order; the first one is the keeper.
 	Keepers func() []Keeper
-	// Others returns the first keeper of each other data centre.
-	Others func() []Keeper
+	// RemoteKeepers returns the first keeper of each other data centre.
+	RemoteKeepers func() []Keeper
 	// State returns this VM's own work under way and the endpoints that it avoids.
 	State func() State
 	// Apply is called with the state of all other VMs.
@@ -137,7 +137,7 @@
 		s.sendSummary()
 		if now := s.cfg.Clock(); now-last >= refreshInterval {
 			last = now
-			s.Changed()
+			s.ReportChange()
 			s.reportOutcomes()
 		}
 	}
@@ -157,9 +157,9 @@
 	return Keeper{}, false
 }
 
-// Ask queries the keeper for the current load of all other VMs and applies it. It waits for at
+// Refresh queries the keeper for the current load of all other VMs and applies it. It waits for at
 // most askTimeout, and no longer than ctx.
-func (s *Service) Ask(ctx context.Context) {
+func (s *Service) Refresh(ctx context.Context) {
 	k, ok := s.currentKeeper()
 	if !ok {
 		s.asks.WithLabelValues("nobody").Inc()
@@ -196,8 +196,8 @@
 	}
 }
 
-// Changed reports this VM's state to the keeper.
-func (s *Service) Changed() {
+// ReportChange reports this VM's state to the keeper.
+func (s *Service) ReportChange() {
 	k, ok := s.currentKeeper()
 	if !ok {
 		return
@@ -220,7 +220,7 @@
 	}
 	sums := s.aggregator.LocalSums(s.cfg.Clock())
 	seq := s.sequence.Add(1)
-	for _, other := range s.cfg.Others() {
+	for _, other := range s.cfg.RemoteKeepers() {
 		s.send(other, message{Kind: kindSummary, Sequence: seq, State: State{Work: sums}})
 	}
 }
@@ -264,7 +264,7 @@
 	}
 }
 
-// handleTotals applies the answer to a query and wakes the waiting Ask. It doesn't apply the state
+// handleTotals applies the answer to a query and wakes the waiting Refresh. It doesn't apply the state
 // if the answer to a later query was applied already.
 func (s *Service) handleTotals(m *message) {
 	s.mu.Lock()
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -30,7 +30,7 @@
 
 // The totals for a VM must leave out its own report. A reordered report must not replace a later
 // one, and a silent VM's report must expire, or its engines would look busy and stay unused.
-func TestBoard(t *testing.T) {
+func TestAggregator(t *testing.T) {
 	b := NewAggregator()
 	b.RecordReport(0, "a", 1, 5, State{Work: []Entry{{Endpoint: 1, Work: 2}}})
 	b.RecordReport(0, "b", 1, 1, State{Work: []Entry{{Endpoint: 1, Work: 3}, {Endpoint: 2, Work: 1}}})
@@ -47,7 +47,7 @@
 
 // A VM that is partitioned from an endpoint avoids it. The other VMs, which the endpoint serves
 // well, must not avoid it until a second VM does.
-func TestOneVMAloneEmptiesNoEndpoint(t *testing.T) {
+func TestOneAvoidingVMIsIgnored(t *testing.T) {
 	b := NewAggregator()
 	b.RecordReport(0, "a", 1, 1, State{Avoided: []uint32{7}})
 	require.Empty(t, b.Totals(0, "c").Avoided)
@@ -63,8 +63,8 @@
 	for vm := range 20 {
 		var s State
 		for i := range 100 {
-			s.Work = append(s.Work, Entry{Endpoint: Mark(fmt.Sprint(vm, i)), Work: float32(i)})
-			s.Avoided = append(s.Avoided, Mark(fmt.Sprint(i)))
+			s.Work = append(s.Work, Entry{Endpoint: EndpointHash(fmt.Sprint(vm, i)), Work: float32(i)})
+			s.Avoided = append(s.Avoided, EndpointHash(fmt.Sprint(i)))
 		}
 		b.RecordReport(0, fmt.Sprint("vm", vm), 1, 1, s)
 	}
@@ -105,7 +105,7 @@
 		s, err := Listen(Config{
 			Self: fmt.Sprint("vm", i), Address: "127.0.0.1:0",
 			Clock:   func() time.Duration { return time.Minute + time.Since(began) },
-			Keepers: func() []Keeper { return keepers }, Others: func() []Keeper { return nil },
+			Keepers: func() []Keeper { return keepers }, RemoteKeepers: func() []Keeper { return nil },
 			State: func() State { return v.state }, Apply: func(s State) { v.applied = s },
 			Outcomes: v.ownOutcomes, ApplyOutcomes: func(o []Outcomes) { v.fleet.Store(&o) },
 			Log: zerolog.Nop(), Registerer: prometheus.NewRegistry(), Traffic: datagram.NewTraffic(prometheus.NewRegistry()),
@@ -129,23 +129,23 @@
 }
 
 // A VM that asks must receive what another VM reported, also when it is the keeper itself.
-func TestAskTellsOfOthers(t *testing.T) {
+func TestAskReturnsLoadOfOthers(t *testing.T) {
 	vms := open(t, 3)
 	vms[1].state = State{Work: []Entry{{Endpoint: 7, Work: 2}}}
-	vms[1].Changed()
+	vms[1].ReportChange()
 	require.Eventually(t, func() bool {
-		vms[2].Ask(t.Context())
+		vms[2].Refresh(t.Context())
 		return sumOf(vms[2].applied.Work)[7] == 2
 	}, 10*time.Second, time.Millisecond)
-	vms[0].Ask(t.Context())
+	vms[0].Refresh(t.Context())
 	require.Equal(t, map[uint32]float32{7: 2}, sumOf(vms[0].applied.Work))
-	vms[1].Ask(t.Context())
+	vms[1].Refresh(t.Context())
 	require.Empty(t, vms[1].applied.Work, "its own work is left out")
 }
 
 // The keeper lost power and doesn't answer. Only the first query may wait for its timeout; the
 // next one must go to another VM.
-func TestSilentKeeperIsPassedOver(t *testing.T) {
+func TestSilentKeeperIsSkipped(t *testing.T) {
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer silent.Close()
@@ -155,18 +155,18 @@
 		return append([]Keeper{{Name: "dead", Address: silent.LocalAddr().String()}}, live...)
 	}
 	require.Eventually(t, func() bool {
-		vms[1].Ask(t.Context())
+		vms[1].Refresh(t.Context())
 		return testutil.ToFloat64(vms[1].asks.WithLabelValues("answered")) > 0
 	}, 10*time.Second, time.Millisecond)
 	require.Positive(t, testutil.ToFloat64(vms[1].asks.WithLabelValues("silent")))
 }
 
 // While a fleet starts, no keeper is known. A request must not wait then.
-func TestNobodyToAsk(t *testing.T) {
+func TestNoKeeperKnown(t *testing.T) {
 	vms := open(t, 1)
 	vms[0].cfg.Keepers = func() []Keeper { return nil }
-	vms[0].Ask(t.Context())
-	vms[0].Changed()
+	vms[0].Refresh(t.Context())
+	vms[0].ReportChange()
 	require.Equal(t, 1.0, testutil.ToFloat64(vms[0].asks.WithLabelValues("nobody")))
 }
 
@@ -201,7 +201,7 @@
 	aggregator := NewAggregator()
 	state := func(vm int) (s State) {
 		for i := range 8 {
-			s.Work = append(s.Work, Entry{Endpoint: Mark(fmt.Sprint("endpoint", (vm*8+i)%105)), Work: float32(i) + 1})
+			s.Work = append(s.Work, Entry{Endpoint: EndpointHash(fmt.Sprint("endpoint", (vm*8+i)%105)), Work: float32(i) + 1})
 		}
 		return s
 	}
--- a/gateway/catalog/config.go
+++ b/gateway/catalog/config.go
@@ -26,9 +26,9 @@
 	return [...]string{"non_idempotent", "idempotent", "streaming"}[k]
 }
 
-// Weighted is one service of a route that is split over several, with its share of the
+// WeightedService is one service of a route that is split over several, with its share of the
 // requests.
-type Weighted struct {
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -50,7 +50,7 @@
 	Priority int
 	// Services are the services that share the route's requests by weight; a route that isn't
 	// split has one with weight 1.
-	Services []Weighted
+	Services []WeightedService
 	// Regions are the regions in which the requests may run; empty for all.
 	Regions []string
 	// Anonymous routes accept requests without a key.
@@ -126,8 +126,8 @@
 // Routes returns the number of routes.
 func (c *Config) Routes() int { return c.routeCount }
 
-// Keyed reports whether callers need a key on routes that aren't anonymous.
-func (c *Config) Keyed() bool { return c.keysRequired }
+// KeysRequired reports whether callers need a key on routes that aren't anonymous.
+func (c *Config) KeysRequired() bool { return c.keysRequired }
 
 // Match returns the route of the host whose prefix of path is the longest; nil for none.
 func (c *Config) Match(host, path string) *Route {
--- a/gateway/catalog/endpoint.go
+++ b/gateway/catalog/endpoint.go
@@ -16,9 +16,9 @@
 	Draining bool
 	// Cold is how long the endpoint stays in cold start, counted from the report.
 	Cold time.Duration
-	// Born is the start time of this incarnation in Unix milliseconds by the endpoint's own
+	// StartedAt is the start time of this incarnation in Unix milliseconds by the endpoint's own
 	// clock; 0 if unknown. An endpoint may restart under the same id.
-	Born int64
+	StartedAt int64
 }
 
 // RollOutState is the progress of a roll-out.
--- a/gateway/forward/admit_test.go
+++ b/gateway/forward/admit_test.go
@@ -23,9 +23,9 @@
 }
 
 // The VM has lost the platform. A path or key may have been added since then, so nothing is
-// denied once the configuration is older than DenyProof. A key may have been revoked, so none
-// is accepted after KeyProof. Anonymous routes go on.
-func TestAgeOfTheProof(t *testing.T) {
+// denied once the configuration is older than MaxDenyConfigAge. A key may have been revoked, so none
+// is accepted after MaxKeyConfigAge. Anonymous routes go on.
+func TestConfigurationAge(t *testing.T) {
 	w := newTestEnv(t, 1)
 	for _, c := range []struct {
 		age       time.Duration
@@ -68,7 +68,7 @@
 // An endpoint receives the time left of the caller's timeout, or of the route's if shorter.
 // When it is over, the caller gets its final answer, and the endpoint sees the request
 // cancelled.
-func TestTimeIsOver(t *testing.T) {
+func TestDeadlineExpires(t *testing.T) {
 	w := newTestEnv(t, 1)
 	cancelled := make(chan struct{})
 	w.setHandlers(func(_ http.ResponseWriter, r *http.Request) {
@@ -85,7 +85,7 @@
 
 // The caller disconnects while an endpoint works: the endpoint sees the request cancelled, and
 // no other endpoint gets it.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, path := range []string{"/safe/a", "/stream/a"} {
 		w := newTestEnv(t, 3)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/gateway/forward/call.go
+++ b/gateway/forward/call.go
@@ -45,9 +45,9 @@
 	retryGranted   bool     // the retry budget has already granted the next attempt
 	ran            refusal.Ran
 	attemptRecords []attemptRecord
-	pin            Pin    // nil before the service is known
-	rationale      Why    // reason for the last choice of a version
-	sizingNote     string // confidence and load of the last answer with the estimate for a larger model, for the log
+	pin            Pin          // nil before the service is known
+	rationale      ChoiceReason // reason for the last choice of a version
+	sizingNote     string       // confidence and load of the last answer with the estimate for a larger model, for the log
 }
 
 // attemptRecord is one attempt in the request's log line.
@@ -89,7 +89,7 @@
 func (c *call) run() {
 	c.ran = refusal.NotRun
 	c.service = c.pickService()
-	c.fingerprint = uint64(poison.Of(c.accountName(), c.r.RequestURI, c.body))
+	c.fingerprint = uint64(poison.NewFingerprint(c.accountName(), c.r.RequestURI, c.body))
 	if c.h.cfg.Poison.Quarantined(c.service, c.fingerprint) {
 		c.refuse(refusal.New(http.StatusServiceUnavailable, refusal.Quarantined, "this request crashed the endpoints that ran it"))
 		return
@@ -147,12 +147,12 @@
 }
 
 // placementRequest describes the request to package placement, for the current model.
-func (c *call) placementRequest(v Choice) *placement.Request { return c.requestFor(v, c.model) }
+func (c *call) placementRequest(v VersionChoice) *placement.Request { return c.requestFor(v, c.model) }
 
 // requestFor describes the request for the given index in the route's models.
-func (c *call) requestFor(v Choice, model int) *placement.Request {
+func (c *call) requestFor(v VersionChoice, model int) *placement.Request {
 	r := &placement.Request{
-		Service: c.service, Version: v.Only, NotVersion: v.Not, Regions: c.route.Regions,
+		Service: c.service, Version: v.Version, NotVersion: v.ExcludedVersion, Regions: c.route.Regions,
 		Exclude: c.tried, Work: 1,
 	}
 	weight := 1.0
@@ -169,16 +169,16 @@
 
 // pickEndpoint picks an endpoint of the session's version. If that version has no endpoint, it
 // picks one of any version that is not excluded.
-func (c *call) pickEndpoint(ctx context.Context) (placement.Choice, placement.Miss) {
+func (c *call) pickEndpoint(ctx context.Context) (placement.Choice, placement.NoChoiceReason) {
 	if c.countsTowardLoad() {
-		c.h.cfg.Load.Ask(ctx)
-		defer c.h.cfg.Load.Changed()
+		c.h.cfg.Load.Refresh(ctx)
+		defer c.h.cfg.Load.ReportChange()
 	}
-	var v Choice
+	var v VersionChoice
 	v, c.rationale = c.pin.Choose(ctx)
 	ch, miss := c.h.cfg.Table.Pick(time.Now(), newRand(), c.placementRequest(v))
-	if miss == placement.NoEndpoint && v.Only != "" {
-		ch, miss = c.h.cfg.Table.Pick(time.Now(), newRand(), c.placementRequest(Choice{Not: v.Not}))
+	if miss == placement.NoEndpoint && v.Version != "" {
+		ch, miss = c.h.cfg.Table.Pick(time.Now(), newRand(), c.placementRequest(VersionChoice{ExcludedVersion: v.ExcludedVersion}))
 	}
 	return ch, miss
 }
@@ -209,7 +209,7 @@
 	if c.failedDials > maxFailedDials && (c.failedDials > maxQuickFailedDials || time.Since(c.start) > quickDialWindow) {
 		return placement.Choice{}, c.refuseFurther("no endpoint could be reached")
 	}
-	if c.endpointsReached() > 0 && !c.retryGranted && !c.h.cfg.Budget.Again(c.service) {
+	if c.endpointsReached() > 0 && !c.retryGranted && !c.h.cfg.Budget.TakeExtra(c.service) {
 		return placement.Choice{}, c.refuseFurther("too many requests are being tried again")
 	}
 	c.retryGranted = false
@@ -218,7 +218,7 @@
 		return choice, c.refuseFurther(missDetails[miss])
 	}
 	if c.endpointsReached() == 0 && c.failedDials == 0 {
-		c.h.cfg.Budget.First(c.service)
+		c.h.cfg.Budget.RecordFirst(c.service)
 	}
 	return choice, nil
 }
@@ -227,7 +227,7 @@
 // it or not.
 func (c *call) endpointsReached() int { return c.possibleRuns + c.misdirected + c.atCapacity }
 
-var missDetails = map[placement.Miss]string{
+var missDetails = map[placement.NoChoiceReason]string{
 	placement.NoEndpoint: "no endpoint serves this now",
 	placement.AllCold:    "the endpoints are in cold start",
 	placement.AllTried:   "all endpoints were tried",
@@ -237,9 +237,9 @@
 // attempt may have run.
 func (c *call) refuseFurther(detail string) *refusal.Refusal {
 	if c.ran != refusal.NotRun {
-		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "%s", detail).WhichRan(c.ran)
+		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "%s", detail).WithRan(c.ran)
 	}
-	return refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "%s", detail).After(c.retryAfter())
+	return refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "%s", detail).WithRetryAfter(c.retryAfter())
 }
 
 // retryAfter returns the delay after which a refused caller should retry: long enough for
@@ -254,9 +254,9 @@
 // disconnected.
 func (c *call) contextRefusal(err error) *refusal.Refusal {
 	if errors.Is(err, context.DeadlineExceeded) {
-		return refusal.New(http.StatusGatewayTimeout, refusal.DeadlineTooShort, "no answer in time").WhichRan(c.ran)
+		return refusal.New(http.StatusGatewayTimeout, refusal.DeadlineTooShort, "no answer in time").WithRan(c.ran)
 	}
-	return refusal.New(statusClientClosedRequest, refusal.DeadlineTooShort, "the caller left").WhichRan(c.ran)
+	return refusal.New(statusClientClosedRequest, refusal.DeadlineTooShort, "the caller left").WithRan(c.ran)
 }
 
 // statusClientClosedRequest is logged if the caller disconnected; it is never sent.
@@ -280,7 +280,7 @@
 		head.Set(n.Model, c.route.Models[c.model])
 	}
 	if lastEvent != "" {
-		head.Set(n.LastEvent, lastEvent)
+		head.Set(n.LastEventID, lastEvent)
 	}
 	req := &upstream.Request{
 		Method: c.r.Method, Target: c.r.RequestURI, Host: c.r.Host, Header: head, Body: c.body,
@@ -305,11 +305,11 @@
 	n := &c.h.cfg.Names
 	now := time.Now()
 	if c.countsTowardLoad() {
-		c.h.cfg.Table.Began(now, ch)
-		c.h.cfg.Load.Changed()
+		c.h.cfg.Table.PromptRead(now, ch)
+		c.h.cfg.Load.ReportChange()
 	}
-	if ms := parseCount(a.Header.Get(n.Cold)); ms > 0 {
-		c.h.cfg.Table.Cold(now, ch.ID, time.Duration(ms)*time.Millisecond)
+	if ms := parseCount(a.Header.Get(n.ColdRemaining)); ms > 0 {
+		c.h.cfg.Table.MarkCold(now, ch.ID, time.Duration(ms)*time.Millisecond)
 	}
 }
 
@@ -335,7 +335,7 @@
 		c.tried = append(c.tried, ch.ID)
 	}
 	if cause := ctx.Err(); cause != nil {
-		c.finishAttempt(ch, placement.Neutral, "ended")
+		c.finishAttempt(ch, placement.NoSignal, "ended")
 		return giveUp, c.contextRefusal(cause)
 	}
 	c.finishAttempt(ch, placement.Broken, resultBroken)
@@ -349,7 +349,7 @@
 	if c.repeatable() {
 		return tryNext, nil
 	}
-	return giveUp, refusal.New(http.StatusBadGateway, refusal.OutcomeUnknown, "%s", detail).WhichRan(c.ran)
+	return giveUp, refusal.New(http.StatusBadGateway, refusal.OutcomeUnknown, "%s", detail).WithRan(c.ran)
 }
 
 // handleNotRun ends an attempt whose endpoint states that it did not run the request, which
@@ -358,10 +358,10 @@
 	n := &c.h.cfg.Names
 	switch {
 	case a.Status == http.StatusMisdirectedRequest:
-		c.finishAttempt(ch, placement.Gone, "misdirected")
+		c.finishAttempt(ch, placement.OtherIncarnation, "misdirected")
 		c.misdirected++
 	case a.Header.Get(n.NotRun) != "" && a.Status >= 400:
-		c.finishAttempt(ch, placement.Full, "full")
+		c.finishAttempt(ch, placement.AtCapacity, "full")
 		c.atCapacity++
 	default:
 		return false
@@ -372,11 +372,11 @@
 
 // reportAnswer reports the result of an attempt for the comparison of versions.
 func (c *call) reportAnswer(ch placement.Choice, failed bool, took time.Duration) {
-	a := Answered{Service: c.service, Version: ch.Version, Route: c.route.Name, Failed: failed, Took: took}
+	a := AnswerResult{Service: c.service, Version: ch.Version, Route: c.route.Name, Failed: failed, Took: took}
 	if c.prompt.wildcard {
 		a.Model = c.route.Models[c.model]
 	}
-	c.h.cfg.Versions.Answered(a)
+	c.h.cfg.Versions.RecordAnswer(a)
 }
 
 // resultOK is the result of a complete answer, resultBroken that of a broken connection.
@@ -391,11 +391,11 @@
 func (c *call) finishAttempt(ch placement.Choice, o placement.Outcome, result string) {
 	c.h.cfg.Table.Done(time.Now(), ch, o)
 	if c.countsTowardLoad() {
-		c.h.cfg.Load.Changed()
+		c.h.cfg.Load.ReportChange()
 	}
 	c.h.cfg.Poison.End(Attempt{
 		Service: c.service, Endpoint: ch.ID, Address: ch.Address, Fingerprint: c.fingerprint,
-		Survived: result == resultOK, Broke: result == resultBroken,
+		Survived: result == resultOK, ConnectionBroke: result == resultBroken,
 	})
 	model := ""
 	if c.prompt.wildcard {
--- a/gateway/forward/finish.go
+++ b/gateway/forward/finish.go
@@ -84,7 +84,7 @@
 		e = e.Str("attempts", formatAttempts(c.attemptRecords))
 	}
 	if id := c.session(); id != "" && c.service != "" {
-		e = e.Str("session", trial.SessionOf(c.service, id).String()).Str("versions", strings.Join(versions, " ")).
+		e = e.Str("session", trial.HashSession(c.service, id).String()).Str("versions", strings.Join(versions, " ")).
 			Str("version_reason", c.rationale.Reason).Dur("roll_out_age_ms", c.rationale.RollOutAge).Str("session_keeper", c.rationale.Keeper).Dur("session_age_ms", c.rationale.SessionAge)
 	}
 	e.Msg("request")
--- a/gateway/forward/handler.go
+++ b/gateway/forward/handler.go
@@ -24,36 +24,36 @@
 	Config() *catalog.Config
 	// ConfigAge returns the time since the configuration was confirmed as the newest.
 	ConfigAge() time.Duration
-	// Known returns a channel that is closed once a configuration and the endpoints are known.
-	Known() <-chan struct{}
+	// Loaded returns a channel that is closed once a configuration and the endpoints are known.
+	Loaded() <-chan struct{}
 }
 
 // Versions decides which version of a service's endpoints a request may use.
 type Versions interface {
 	// Begin opens a request of a session ("" for none) that lasts until deadline at most.
 	Begin(service, session string, deadline time.Time) Pin
-	// Answered records the result of an attempt.
-	Answered(a Answered)
+	// RecordAnswer records the result of an attempt.
+	RecordAnswer(a AnswerResult)
 }
 
 // Pin holds the version of a session for one request.
 type Pin interface {
 	// Choose returns the version for an attempt that is about to be sent.
-	Choose(ctx context.Context) (Choice, Why)
+	Choose(ctx context.Context) (VersionChoice, ChoiceReason)
 	// End ends the request. version is the version that ran it last, "" if none did.
 	End(version string)
 }
 
-// Choice is the version that serves a session; if both fields are empty, any version may.
-type Choice struct {
-	// Only is the version to use while it has endpoints.
-	Only string
-	// Not is a version that must not be used.
-	Not string
+// VersionChoice is the version that serves a session; if both fields are empty, any version may.
+type VersionChoice struct {
+	// Version is the version to use while it has endpoints.
+	Version string
+	// ExcludedVersion is a version that must not be used.
+	ExcludedVersion string
 }
 
-// Why is the reason for a choice of a version, for the request's log line.
-type Why struct {
+// ChoiceReason is the reason for a choice of a version, for the request's log line.
+type ChoiceReason struct {
 	// Reason is one of the values that docs/OPERATIONS.md lists.
 	Reason string
 	// RollOutAge is the time since the roll-out was ordered, as this VM knows it; 0 without a
@@ -65,8 +65,8 @@
 	SessionAge time.Duration
 }
 
-// Answered is the result of one attempt, for the comparison of versions.
-type Answered struct {
+// AnswerResult is the result of one attempt, for the comparison of versions.
+type AnswerResult struct {
 	Service, Version, Route, Model string
 	// Failed is set if the endpoint failed the request, by an error or a broken answer.
 	Failed bool
@@ -76,39 +76,39 @@
 
 // Config holds a handler's dependencies and limits.
 type Config struct {
-	Names    Names
+	Names    HeaderNames
 	State    State
 	Table    *placement.Table
 	Pool     *upstream.Pool
 	Versions Versions
-	Budget   Budget
+	Budget   RetryBudget
 	Poison   Poison
-	Load     Load
+	Load     LoadExchange
 	Metrics  *Metrics
 	Log      zerolog.Logger
-	// KeyProof returns the configuration age (State.ConfigAge) up to which keys are accepted. A
+	// MaxKeyConfigAge returns the configuration age (State.ConfigAge) up to which keys are accepted. A
 	// key may have been revoked since then.
-	KeyProof func() time.Duration
-	// DenyProof is the configuration age up to which the VM answers that a path or key does not
+	MaxKeyConfigAge func() time.Duration
+	// MaxDenyConfigAge is the configuration age up to which the VM answers that a path or key does not
 	// exist. It may have been added since then.
-	DenyProof time.Duration
+	MaxDenyConfigAge time.Duration
 }
 
-// Budget bounds the retries of requests over all VMs.
-type Budget interface {
-	// First counts a request's first attempt at a service.
-	First(service string)
-	// Again reports whether one more attempt at a service is allowed, and counts it if so.
-	Again(service string) bool
+// RetryBudget bounds the retries of requests over all VMs.
+type RetryBudget interface {
+	// RecordFirst counts a request's first attempt at a service.
+	RecordFirst(service string)
+	// TakeExtra reports whether one more attempt at a service is allowed, and counts it if so.
+	TakeExtra(service string) bool
 }
 
-// Load exchanges the load of endpoints between the VMs.
-type Load interface {
-	// Ask updates the placement table with the work that the other VMs have in progress. It
+// LoadExchange exchanges the load of endpoints between the VMs.
+type LoadExchange interface {
+	// Refresh updates the placement table with the work that the other VMs have in progress. It
 	// waits a few ms at most.
-	Ask(ctx context.Context)
-	// Changed signals that the work that this VM has in progress has changed.
-	Changed()
+	Refresh(ctx context.Context)
+	// ReportChange signals that the work that this VM has in progress has changed.
+	ReportChange()
 }
 
 // Poison detects requests that crash the endpoints that run them. A fingerprint identifies a
@@ -123,8 +123,8 @@
 type Attempt struct {
 	Service, Endpoint, Address string
 	Fingerprint                uint64
-	// Survived is set if the endpoint gave a complete answer, Broke if its connection broke.
-	Survived, Broke bool
+	// Survived is set if the endpoint gave a complete answer, ConnectionBroke if its connection broke.
+	Survived, ConnectionBroke bool
 }
 
 // Handler is the http.Handler that serves callers.
@@ -197,7 +197,7 @@
 // awaitConfig holds a request until the configuration is known, if the VM has just started.
 func (h *Handler) awaitConfig(r *http.Request) {
 	select {
-	case <-h.cfg.State.Known():
+	case <-h.cfg.State.Loaded():
 		return
 	default:
 	}
@@ -211,7 +211,7 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-h.cfg.State.Known():
+	case <-h.cfg.State.Loaded():
 	case <-t.C:
 	case <-r.Context().Done():
 	}
@@ -223,7 +223,7 @@
 	h := &c.h.cfg
 	c.conf = h.State.Config()
 	if c.conf == nil {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "no configuration yet").After(shortRetryAfter)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "no configuration yet").WithRetryAfter(shortRetryAfter)
 	}
 	c.configAge = h.State.ConfigAge()
 	if refused := c.checkLimits(); refused != nil {
@@ -240,7 +240,7 @@
 		return refusal.New(http.StatusBadRequest, refusal.BadRequest, "a request needs an id")
 	}
 	if c.route.Kind == catalog.Streaming && c.h.refusesStreams(c.start) {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Draining, "this VM is leaving").After(shortRetryAfter)
+		return refusal.New(http.StatusServiceUnavailable, refusal.Draining, "this VM is leaving").WithRetryAfter(shortRetryAfter)
 	}
 	c.setDeadline()
 	c.prompt = parsePrompt(c.r.Header, &h.Names, c.route)
@@ -254,8 +254,8 @@
 // deny refuses a request because something does not exist. If the configuration may be
 // outdated, the refusal is temporary instead.
 func (c *call) deny(status int, code refusal.Code, detail string) *refusal.Refusal {
-	if c.configAge > c.h.cfg.DenyProof {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "%s in a configuration that may be old", detail).After(shortRetryAfter)
+	if c.configAge > c.h.cfg.MaxDenyConfigAge {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "%s in a configuration that may be old", detail).WithRetryAfter(shortRetryAfter)
 	}
 	return refusal.New(status, code, "%s", detail)
 }
@@ -265,11 +265,11 @@
 	if key != "" {
 		c.account = c.conf.Account(key)
 	}
-	if c.route.Anonymous || !c.conf.Keyed() {
+	if c.route.Anonymous || !c.conf.KeysRequired() {
 		return nil
 	}
-	if c.configAge > c.h.cfg.KeyProof() {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "keys can't be checked now").After(shortRetryAfter)
+	if c.configAge > c.h.cfg.MaxKeyConfigAge() {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "keys can't be checked now").WithRetryAfter(shortRetryAfter)
 	}
 	if c.account == nil {
 		return c.deny(http.StatusUnauthorized, refusal.Unauthorized, "the key is unknown")
--- a/gateway/forward/harness_test.go
+++ b/gateway/forward/harness_test.go
@@ -24,11 +24,11 @@
 
 // testNames are header names that differ from those of the real protocol, so that the tests do
 // not depend on it.
-var testNames = Names{
+var testNames = HeaderNames{
 	RequestID: "X-Request", Deadline: "X-Deadline", Key: "X-Key", Account: "X-Account",
 	ExpectInstance: "X-Expect", Load: "X-Load", NotRun: "X-Not-Run",
 	Signature: "X-Signature", Confidence: "X-Confidence", Model: "X-Model",
-	Parts: "X-Parts", Session: "X-Session", LastEvent: "X-Last", Cold: "X-Cold",
+	PromptParts: "X-Parts", Session: "X-Session", LastEventID: "X-Last", ColdRemaining: "X-Cold",
 	Owned: []string{"X-Key", "X-Account", "X-Expect", "X-Hold"},
 }
 
@@ -59,7 +59,7 @@
 type fakeState struct {
 	mu      sync.Mutex
 	known   chan struct{}
-	onKnown func() // called by Known; may be nil
+	onKnown func() // called by Loaded; may be nil
 	config  *catalog.Config
 	age     time.Duration
 }
@@ -70,7 +70,7 @@
 	return s.config
 }
 
-func (s *fakeState) Known() <-chan struct{} {
+func (s *fakeState) Loaded() <-chan struct{} {
 	if s.onKnown != nil {
 		s.onKnown()
 	}
@@ -85,17 +85,17 @@
 
 type fakeVersions struct {
 	mu            sync.Mutex
-	choice        Choice
-	answers       []Answered
+	choice        VersionChoice
+	answers       []AnswerResult
 	endedVersions []string // one entry for each ended request
 }
 
 func (v *fakeVersions) Begin(string, string, time.Time) Pin { return v }
 
-func (v *fakeVersions) Choose(context.Context) (Choice, Why) {
+func (v *fakeVersions) Choose(context.Context) (VersionChoice, ChoiceReason) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.choice, Why{}
+	return v.choice, ChoiceReason{}
 }
 
 func (v *fakeVersions) End(version string) {
@@ -104,7 +104,7 @@
 	v.endedVersions = append(v.endedVersions, version)
 }
 
-func (v *fakeVersions) Answered(a Answered) {
+func (v *fakeVersions) RecordAnswer(a AnswerResult) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.answers = append(v.answers, a)
@@ -112,8 +112,8 @@
 
 type fakeBudget struct{ none atomic.Bool }
 
-func (*fakeBudget) First(string)        {}
-func (b *fakeBudget) Again(string) bool { return !b.none.Load() }
+func (*fakeBudget) RecordFirst(string)      {}
+func (b *fakeBudget) TakeExtra(string) bool { return !b.none.Load() }
 
 type fakePoison struct {
 	mu           sync.Mutex
@@ -137,7 +137,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.openAttempts--
-	if a.Broke {
+	if a.ConnectionBroke {
 		p.crashes[a.Fingerprint]++
 	}
 }
@@ -146,7 +146,7 @@
 func newTestEnv(t testing.TB, n int) *testEnv {
 	t.Helper()
 	w := &testEnv{t: t, table: placement.New("a"), state: &fakeState{known: make(chan struct{})}, versions: &fakeVersions{}, budget: &fakeBudget{}, poison: &fakePoison{crashes: map[uint64]int{}}}
-	branch := []catalog.Weighted{{Service: "s", Weight: 1}}
+	branch := []catalog.WeightedService{{Service: "s", Weight: 1}}
 	routes := []*catalog.Route{
 		{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.NonIdempotent, MaxAttempts: 3, Services: branch, Timeout: time.Minute},
 		{Name: "single", Host: "h", Prefix: "/single/", Kind: catalog.NonIdempotent, MaxAttempts: 1, Services: branch},
@@ -168,7 +168,7 @@
 	w.handler = New(Config{
 		Names: testNames, State: w.state, Table: w.table, Pool: upstream.NewPool(registry), Versions: w.versions,
 		Budget: w.budget, Poison: w.poison, Load: noLoad{}, Metrics: NewMetrics(registry), Log: zerolog.Nop(),
-		KeyProof: func() time.Duration { return 4 * time.Second }, DenyProof: 2 * time.Second,
+		MaxKeyConfigAge: func() time.Duration { return 4 * time.Second }, MaxDenyConfigAge: 2 * time.Second,
 	})
 	close(w.state.known)
 	w.vmServer = httptest.NewServer(w.handler)
@@ -332,8 +332,8 @@
 	return b.String()
 }
 
-// noLoad implements Load for a single VM.
+// noLoad implements LoadExchange for a single VM.
 type noLoad struct{}
 
-func (noLoad) Ask(context.Context) {}
-func (noLoad) Changed()            {}
+func (noLoad) Refresh(context.Context) {}
+func (noLoad) ReportChange()           {}
--- a/gateway/forward/names.go
+++ b/gateway/forward/names.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Names are the HTTP headers that carry a request's metadata. The package that defines the
+// HeaderNames are the HTTP headers that carry a request's metadata. The package that defines the
 // protocol with callers and endpoints sets them.
-type Names struct {
+type HeaderNames struct {
 	// RequestID is the caller's id of this attempt; endpoints echo it in the answer.
 	RequestID string
 	// Deadline is the time in ms that the caller waits for the answer; towards an endpoint, the
@@ -29,13 +29,13 @@
 	Confidence string
 	// Model is the model that the caller asks for. Parts are the prompt's parts as a list of
 	// ID:TOKENS.
-	Model, Parts string
+	Model, PromptParts string
 	// Session identifies the conversation that a request belongs to.
 	Session string
-	// LastEvent is the id of the last event that the caller has received of a stream.
-	LastEvent string
-	// Cold is the time in ms that an endpoint remains in cold start.
-	Cold string
+	// LastEventID is the id of the last event that the caller has received of a stream.
+	LastEventID string
+	// ColdRemaining is the time in ms that an endpoint remains in cold start.
+	ColdRemaining string
 	// Owned are the headers that only the system sets; they are removed from a caller's
 	// request.
 	Owned []string
--- a/gateway/forward/overdue.go
+++ b/gateway/forward/overdue.go
@@ -22,12 +22,12 @@
 
 // overduePolicy holds the answer times of services and the budget for rerouted requests.
 type overduePolicy struct {
-	answerTimes   *patience.Times
+	answerTimes   *patience.AnswerTimes
 	rerouteBudget *retry.Window
 }
 
 func newOverdue() *overduePolicy {
-	return &overduePolicy{answerTimes: patience.NewTimes(), rerouteBudget: retry.NewWindow(rerouteWindow, rerouteRatio, rerouteSlack)}
+	return &overduePolicy{answerTimes: patience.NewAnswerTimes(), rerouteBudget: retry.NewWindow(rerouteWindow, rerouteRatio, rerouteSlack)}
 }
 
 // timedAttempt is one attempt with its time limit for the head of the answer.
@@ -43,23 +43,23 @@
 func (c *call) beginAttempt(ctx context.Context, ch placement.Choice) *timedAttempt {
 	a := &timedAttempt{began: time.Now()}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
-	c.h.overdue.rerouteBudget.First(a.began)
+	c.h.overdue.rerouteBudget.RecordFirst(a.began)
 	if !c.repeatable() {
 		return a
 	}
-	within := patience.WithinOf(ch.Expected)
+	within := patience.WithinFromEstimate(ch.Expected)
 	if c.route.Kind != catalog.Streaming {
 		within = c.h.overdue.answerTimes.Within(c.service)
 	}
-	wait, ok := patience.For(patience.Attempt{
-		Within: within, Aim: c.route.Target, Left: c.deadline.Sub(a.began),
+	wait, ok := patience.Timeout(patience.Attempt{
+		Within: within, TargetLatency: c.route.Target, Remaining: c.deadline.Sub(a.began),
 		AttemptsLeft: c.route.MaxAttempts - c.possibleRuns - 1,
 	})
 	if !ok {
 		return a
 	}
 	a.timer = time.AfterFunc(wait, func() {
-		if c.h.overdue.rerouteBudget.Again(time.Now(), 1) {
+		if c.h.overdue.rerouteBudget.TakeExtra(time.Now(), 1) {
 			a.cancel(upstream.ErrOverdue)
 		}
 	})
--- a/gateway/forward/overdue_test.go
+++ b/gateway/forward/overdue_test.go
@@ -11,7 +11,7 @@
 func neverAnswer(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // An endpoint never answers: the request must go to another endpoint while there is time.
-func TestLostAnswerIsMadeElsewhere(t *testing.T) {
+func TestOverdueRequestIsRerouted(t *testing.T) {
 	w := newTestEnv(t, 4)
 	w.endpoints[0].handlers = []http.HandlerFunc{neverAnswer}
 	for _, e := range w.endpoints[1:] {
@@ -25,7 +25,7 @@
 }
 
 // A request that must not run twice waits for its answer until the deadline.
-func TestLostAnswerOfOneRunIsWaitedFor(t *testing.T) {
+func TestNonRepeatableRequestIsNotRerouted(t *testing.T) {
 	w := newTestEnv(t, 3)
 	w.setHandlers(neverAnswer)
 	r := w.send(http.MethodPost, "/aimed-once/a", "x", testNames.Deadline, "400")
@@ -36,7 +36,7 @@
 
 // If no endpoint answers, only a few requests may be rerouted: in an overload each second
 // attempt delays the other requests.
-func TestFewRequestsAreMoved(t *testing.T) {
+func TestReroutesAreBounded(t *testing.T) {
 	w := newTestEnv(t, 3)
 	w.setHandlers(neverAnswer)
 	for range 12 {
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -39,7 +39,7 @@
 	c.ran = refusal.DidRun
 	if err != nil {
 		if cause := ctx.Err(); cause != nil {
-			c.finishAttempt(ch, placement.Neutral, "ended")
+			c.finishAttempt(ch, placement.NoSignal, "ended")
 			return giveUp, c.contextRefusal(cause)
 		}
 		c.finishAttempt(ch, placement.Failed, "cut")
@@ -47,7 +47,7 @@
 		return c.outcomeUnknown("the answer broke off")
 	}
 	took := time.Since(t.began)
-	c.h.overdue.answerTimes.Learn(c.service, took)
+	c.h.overdue.answerTimes.Add(c.service, took)
 	return c.handleAnswer(ch, a, body, took)
 }
 
@@ -77,7 +77,7 @@
 	}
 	if impliesNotRun(a.Status) || !idMatches {
 		// These statuses tell the caller that nothing ran, which this endpoint did not state.
-		return giveUp, refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint answered %d", a.Status).WhichRan(refusal.Unknown)
+		return giveUp, refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint answered %d", a.Status).WithRan(refusal.Unknown)
 	}
 	c.writeAnswer(a, body)
 	return done, nil
--- a/gateway/forward/plain_test.go
+++ b/gateway/forward/plain_test.go
@@ -28,7 +28,7 @@
 // A caller sets headers that are reserved for the system, and lists some as hop-by-hop headers
 // to have them removed. The endpoint must get the account of the key and none of the reserved
 // values.
-func TestOwnedHeadersAreTheSystems(t *testing.T) {
+func TestOwnedHeadersAreReplaced(t *testing.T) {
 	w := newTestEnv(t, 1)
 	r := w.send(http.MethodPost, "/once/a", "x", testNames.Account, "other", "X-Hold", "h", testNames.ExpectInstance, "e9",
 		"Connection", "X-Account, X-Request")
@@ -53,7 +53,7 @@
 
 // The answer to a booking is truncated. It must neither look complete nor be requested again,
 // since the endpoint ran the booking.
-func TestCutAnswerOfABooking(t *testing.T) {
+func TestTruncatedAnswerOfABooking(t *testing.T) {
 	w := newTestEnv(t, 2)
 	w.setHandlers(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testNames.Signature, "sig")
@@ -93,7 +93,7 @@
 
 // Endpoints that restarted as new incarnations run nothing, so their refusals must not count as
 // attempts.
-func TestOtherLivesCostNoAttempt(t *testing.T) {
+func TestOtherIncarnationsCostNoAttempt(t *testing.T) {
 	for _, path := range []string{"/single/a", "/safe/a", "/stream/a"} {
 		w := newTestEnv(t, 6)
 		w.endpoints[0].handlers = []http.HandlerFunc{events(1, 2, false)}
@@ -109,7 +109,7 @@
 }
 
 // If all endpoints restarted as new incarnations, the caller learns at once that nothing ran.
-func TestOtherLivesOnly(t *testing.T) {
+func TestOnlyOtherIncarnations(t *testing.T) {
 	w := newTestEnv(t, 30)
 	w.setHandlers(status(http.StatusMisdirectedRequest))
 	r := w.send(http.MethodPost, "/once/a", "x")
@@ -120,7 +120,7 @@
 
 // Endpoints without free capacity run nothing: a booking with a single attempt must still reach
 // the endpoint that has capacity.
-func TestFullEndpointsCostNoAttempt(t *testing.T) {
+func TestEndpointsAtCapacityCostNoAttempt(t *testing.T) {
 	w := newTestEnv(t, 3)
 	for _, e := range w.endpoints[1:] {
 		e.handlers = []http.HandlerFunc{status(http.StatusServiceUnavailable, testNames.NotRun, "1")}
@@ -132,7 +132,7 @@
 
 // An endpoint answers a booking with 503 without stating that it did not run. If the status
 // were passed on, the caller would take a second request to be safe.
-func TestPromiseOfAnEndpointIsNotPassedOn(t *testing.T) {
+func TestUnconfirmedNotRunStatusIsNotPassedOn(t *testing.T) {
 	for _, code := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
 		w := newTestEnv(t, 2)
 		w.setHandlers(status(code, testNames.Signature, "sig"))
@@ -213,7 +213,7 @@
 	w := newTestEnv(t, 1)
 	w.table.Set(time.Now(), placement.Spec{ID: "e0", Service: "s", Address: w.endpoints[0].address(), DataCentre: "a", Slots: 8, ColdLimited: true})
 	w.setHandlers(func(rw http.ResponseWriter, r *http.Request) {
-		rw.Header().Set(testNames.Cold, "60000")
+		rw.Header().Set(testNames.ColdRemaining, "60000")
 		answerOK(rw, r)
 	})
 	require.Equal(t, http.StatusOK, w.send(http.MethodGet, "/safe/a", "").status)
--- a/gateway/forward/request.go
+++ b/gateway/forward/request.go
@@ -27,9 +27,9 @@
 // anyModel is the model name with which a caller lets the system choose the model.
 const anyModel = "*"
 
-func parsePrompt(h http.Header, n *Names, r *catalog.Route) prompt {
+func parsePrompt(h http.Header, n *HeaderNames, r *catalog.Route) prompt {
 	var parts []promptPart
-	for f := range strings.SplitSeq(h.Get(n.Parts), ",") {
+	for f := range strings.SplitSeq(h.Get(n.PromptParts), ",") {
 		if id, tokens, ok := strings.Cut(strings.TrimSpace(f), ":"); ok {
 			parts = append(parts, promptPart{id: id, tokens: parseCount(tokens)})
 		}
@@ -76,7 +76,7 @@
 
 // callerTimeout returns how long the caller waits for the answer; ok is false if the request
 // states no time.
-func callerTimeout(h http.Header, n *Names) (time.Duration, bool) {
+func callerTimeout(h http.Header, n *HeaderNames) (time.Duration, bool) {
 	ms, err := strconv.ParseInt(strings.TrimSpace(h.Get(n.Deadline)), 10, 64)
 	if err != nil || ms <= 0 {
 		return 0, false
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -82,21 +82,21 @@
 	confidence, err := strconv.Atoi(a.Header.Get(c.h.cfg.Names.Confidence))
 	load := parseLoad(a.Header.Get(c.h.cfg.Names.Load))
 	now := time.Now()
-	outlook := c.h.cfg.Table.Outlook(now, newRand(), c.requestFor(Choice{}, len(c.route.Models)-1))
+	outlook := c.h.cfg.Table.EstimateWait(now, newRand(), c.requestFor(VersionChoice{}, len(c.route.Models)-1))
 	if err == nil {
 		c.sizingNote = fmt.Sprintf("%d,%d/%d,%d+%dms", confidence, load.inFlight(), load.slots, outlook.Wait.Milliseconds(), outlook.Read.Milliseconds())
 	}
-	return sizing.Next(sizing.Situation{
-		Models: c.route.Models, At: c.model, Confidence: confidence, Known: err == nil,
-		Spent: now.Sub(c.start), Wait: outlook.Wait, Read: outlook.Read, Aim: c.route.Target, Under: load.inFlight(), Slots: load.slots,
-		AttemptsLeft: c.route.MaxAttempts - c.possibleRuns, Left: c.deadline.Sub(now), Whole: c.timeout,
+	return sizing.NextModel(sizing.Input{
+		Models: c.route.Models, Current: c.model, Confidence: confidence, Known: err == nil,
+		Spent: now.Sub(c.start), Wait: outlook.Wait, Read: outlook.Read, TargetLatency: c.route.Target, Running: load.inFlight(), Slots: load.slots,
+		AttemptsLeft: c.route.MaxAttempts - c.possibleRuns, Left: c.deadline.Sub(now), Total: c.timeout,
 	})
 }
 
 // reserveRetry reports whether another attempt is allowed within the time left, and takes it
 // from the retry budget that the VMs share.
 func (c *call) reserveRetry() bool {
-	c.retryGranted = c.possibleRuns < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.h.cfg.Budget.Again(c.service)
+	c.retryGranted = c.possibleRuns < c.route.MaxAttempts && time.Until(c.deadline) > 0 && c.h.cfg.Budget.TakeExtra(c.service)
 	return c.retryGranted
 }
 
@@ -117,7 +117,7 @@
 			c.finishAttempt(ch, placement.Good, resultOK)
 			return
 		case errors.Is(err, errCallerGone) || ctx.Err() != nil:
-			c.finishAttempt(ch, placement.Neutral, "ended")
+			c.finishAttempt(ch, placement.NoSignal, "ended")
 			c.abort("caller-left")
 		}
 		c.finishAttempt(ch, placement.Broken, resultBroken)
@@ -139,7 +139,7 @@
 	if r.hasLastID {
 		last = strconv.FormatInt(r.lastID, 10)
 	} else {
-		last = c.r.Header.Get(c.h.cfg.Names.LastEvent)
+		last = c.r.Header.Get(c.h.cfg.Names.LastEventID)
 	}
 	for {
 		ch, refused := c.nextEndpoint(ctx)
--- a/gateway/forward/stream_test.go
+++ b/gateway/forward/stream_test.go
@@ -19,10 +19,10 @@
 // An endpoint crashes in the middle of an event. The stream continues from another endpoint,
 // which is asked to start after the last whole event but repeats that one. No event may be
 // missing, truncated or duplicated.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+func TestStreamResumesElsewhere(t *testing.T) {
 	w := newTestEnv(t, 2)
 	w.setHandlers(func(rw http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(testNames.LastEvent) == "" {
+		if r.Header.Get(testNames.LastEventID) == "" {
 			events(1, 3, true)(rw, r)
 			return
 		}
@@ -33,7 +33,7 @@
 	require.Equal(t, streamOf(1, 6), r.body)
 	var last []string
 	for _, h := range w.headers() {
-		last = append(last, h.Get(testNames.LastEvent))
+		last = append(last, h.Get(testNames.LastEventID))
 	}
 	require.ElementsMatch(t, []string{"", "3"}, last)
 }
@@ -94,7 +94,7 @@
 func TestOrderlyEndWithinAnEvent(t *testing.T) {
 	w := newTestEnv(t, 2)
 	w.setHandlers(func(rw http.ResponseWriter, r *http.Request) {
-		if r.Header.Get(testNames.LastEvent) != "" {
+		if r.Header.Get(testNames.LastEventID) != "" {
 			events(2, 4, false)(rw, r)
 			return
 		}
@@ -120,7 +120,7 @@
 	}
 	onResume := func(h http.HandlerFunc) http.HandlerFunc {
 		return func(rw http.ResponseWriter, r *http.Request) {
-			if r.Header.Get(testNames.LastEvent) == "" {
+			if r.Header.Get(testNames.LastEventID) == "" {
 				events(1, 3, true)(rw, r)
 				return
 			}
--- a/gateway/node/budgets.go
+++ b/gateway/node/budgets.go
@@ -33,10 +33,10 @@
 	return w
 }
 
-// First implements forward.Budget.
-func (b *budgets) First(service string) { b.window(service).First(time.Now()) }
+// RecordFirst implements forward.RetryBudget.
+func (b *budgets) RecordFirst(service string) { b.window(service).RecordFirst(time.Now()) }
 
-// Again implements forward.Budget.
-func (b *budgets) Again(service string) bool {
-	return b.window(service).Again(time.Now(), b.n.gossip.Table().Alive(bootClock()))
+// TakeExtra implements forward.RetryBudget.
+func (b *budgets) TakeExtra(service string) bool {
+	return b.window(service).TakeExtra(time.Now(), b.n.gossip.Table().AliveCount(bootClock()))
 }
--- a/gateway/node/cold.go
+++ b/gateway/node/cold.go
@@ -10,7 +10,7 @@
 // coldShare returns this VM's part of a cold endpoint's rate, in requests a second.
 func coldShare(vms []string, self, endpoint string, rate float64) float64 {
 	k := min(maxColdVMs, len(vms))
-	if place := rendezvous.Place(endpoint, self, vms); place < 0 || place >= k {
+	if place := rendezvous.Position(endpoint, self, vms); place < 0 || place >= k {
 		return 0
 	}
 	return rate / float64(k)
--- a/gateway/node/listen.go
+++ b/gateway/node/listen.go
@@ -120,7 +120,7 @@
 	n.stopping.Store(true)
 	n.handler.Stop(began.Add(stopAcceptTime / 2))
 	n.log.Info().Int64("active", n.handler.Active()).Msg("stopping")
-	n.gossip.Nudge()
+	n.gossip.TriggerRound()
 	n.handOverSessions()
 	withdrawn, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/gateway/node/load.go
+++ b/gateway/node/load.go
@@ -22,7 +22,7 @@
 		Keepers: func() []tally.Keeper {
 			return n.localKeepers.get(bootClock(), func() []tally.Keeper { return n.keepers(n.s.DataCentre) })
 		},
-		Others: func() []tally.Keeper { return n.remoteKeepers.get(bootClock(), n.otherKeepers) }, State: n.load, Apply: n.applyLoad,
+		RemoteKeepers: func() []tally.Keeper { return n.remoteKeepers.get(bootClock(), n.otherKeepers) }, State: n.load, Apply: n.applyLoad,
 		Outcomes: n.outcomes, ApplyOutcomes: n.applyOutcomes, Log: n.log, Registerer: n.registry, Traffic: n.traffic,
 	})
 }
@@ -72,12 +72,12 @@
 // load returns the state of the endpoints that this VM reports to the others.
 func (n *Node) load() tally.State {
 	var out tally.State
-	for id, s := range n.table.Own(time.Now()) {
+	for id, s := range n.table.LocalLoad(time.Now()) {
 		if s.Work > 0 {
-			out.Work = append(out.Work, tally.Entry{Endpoint: tally.Mark(id), Work: float32(s.Work)})
+			out.Work = append(out.Work, tally.Entry{Endpoint: tally.EndpointHash(id), Work: float32(s.Work)})
 		}
 		if s.Avoided {
-			out.Avoided = append(out.Avoided, tally.Mark(id))
+			out.Avoided = append(out.Avoided, tally.EndpointHash(id))
 		}
 	}
 	return out
@@ -85,16 +85,16 @@
 
 // applyLoad applies the load that the other VMs report.
 func (n *Node) applyLoad(s tally.State) {
-	byMark := make(map[uint32]placement.Share, len(s.Work)+len(s.Avoided))
+	byMark := make(map[uint32]placement.EndpointLoad, len(s.Work)+len(s.Avoided))
 	for _, e := range s.Work {
-		byMark[e.Endpoint] = placement.Share{Work: float64(e.Work)}
+		byMark[e.Endpoint] = placement.EndpointLoad{Work: float64(e.Work)}
 	}
 	for _, m := range s.Avoided {
 		share := byMark[m]
 		share.Avoided = true
 		byMark[m] = share
 	}
-	n.table.SetElsewhere(time.Now(), byMark)
+	n.table.SetPeerLoad(time.Now(), byMark)
 }
 
 // outcomes returns the results of this VM's attempts at the endpoints.
@@ -102,7 +102,7 @@
 	records := n.table.Records(time.Now())
 	out := make([]tally.Outcomes, 0, len(records))
 	for id, r := range records {
-		out = append(out, tally.NewOutcomes(tally.Mark(id), r.Failed, r.Runs, r.OtherLife))
+		out = append(out, tally.NewOutcomes(tally.EndpointHash(id), r.Failed, r.Runs, r.OtherLife))
 	}
 	return out
 }
--- a/gateway/node/node.go
+++ b/gateway/node/node.go
@@ -44,7 +44,7 @@
 // Edge holds the parts of the interface to callers and to the platform's checks that depend on
 // the deployment.
 type Edge struct {
-	Names forward.Names
+	Names forward.HeaderNames
 	// ReadyPath and DirectoryPath are the URL paths of the readiness check and of the directory
 	// of VMs.
 	ReadyPath, DirectoryPath string
@@ -129,7 +129,7 @@
 	n.currentBounds.Store(&s.Bounds)
 	n.rollouts = newRollouts(n)
 	n.sourcePolicy = newSourcePolicy(n)
-	n.suspects = newSuspects(n.pool.Connects)
+	n.suspects = newSuspects(n.pool.CanConnect)
 	n.feeds = make(map[string]*view.Feed)
 	for _, kind := range []string{kindConfig, kindEndpoints, kindRollOuts, kindDataCentresOut} {
 		n.feeds[kind] = view.NewFeed(bootClock, share(n.bound(kind), feedLimitShare))
@@ -138,7 +138,7 @@
 	n.traffic = datagram.NewTraffic(registry)
 	var err error
 	n.gossip, err = gossip.Listen(gossip.Config{
-		Self: n.self(), Clock: bootClock, Ready: n.Ready, Payload: n.payload, Take: n.receivePayload,
+		Self: n.self(), Clock: bootClock, Ready: n.Ready, Payload: n.payload, HandlePayload: n.receivePayload,
 		Log: log, Registerer: registry, Traffic: n.traffic,
 	})
 	if err != nil {
@@ -151,12 +151,12 @@
 	}
 	n.view = view.New(view.Settings{
 		Table: n.table, Clock: bootClock, Log: log, HoldTime: func() time.Duration { return n.bounds().DrainTimeout - holdMargin },
-		Regions: s.Regions, ColdShare: n.coldShare, OnRemove: n.pool.Gone,
+		Regions: s.Regions, ColdShare: n.coldShare, OnRemove: n.pool.Forget,
 	})
 	n.handler = forward.New(forward.Config{
 		Names: edge.Names, State: n.view, Table: n.table, Pool: n.pool, Versions: n.rollouts,
 		Budget: newBudgets(n), Poison: n.suspects, Load: n.tally, Metrics: forward.NewMetrics(registry), Log: log,
-		KeyProof: func() time.Duration { return n.bounds().Revocation - revocationMargin }, DenyProof: denyMaxAge,
+		MaxKeyConfigAge: func() time.Duration { return n.bounds().Revocation - revocationMargin }, MaxDenyConfigAge: denyMaxAge,
 	})
 	return n, nil
 }
@@ -316,6 +316,6 @@
 // none.
 func (n *Node) coldShare(endpoint string, rate float64) float64 {
 	now := bootClock()
-	vms := n.vms.get(now, func() []string { return n.gossip.Table().Names(now) })
+	vms := n.vms.get(now, func() []string { return n.gossip.Table().AliveNames(now) })
 	return coldShare(vms, n.s.VM, endpoint, rate)
 }
--- a/gateway/node/pins.go
+++ b/gateway/node/pins.go
@@ -54,22 +54,22 @@
 	deadline time.Time
 
 	// Guarded by r.mu.
-	value  sticky.Value // of the last choice; 0 for none
-	key    sticky.Key   // under which keepers hold the request; 0 for none
-	answer sticky.Held  // the keepers' answer
+	value  sticky.Value      // of the last choice; 0 for none
+	key    sticky.Key        // under which keepers hold the request; 0 for none
+	answer sticky.HoldResult // the keepers' answer
 }
 
 // Begin implements forward.Versions.
 func (r *rollouts) Begin(service, session string, deadline time.Time) forward.Pin {
-	s := trial.SessionOf(service, session)
+	s := trial.HashSession(service, session)
 	return &pin{
-		r: r, service: service, id: session, session: s, inTrial: s.Tries(trial.Share(r.n.bounds().ExposureShare)),
+		r: r, service: service, id: session, session: s, inTrial: s.Tries(trial.SessionShare(r.n.bounds().ExposureShare)),
 		holder: rand.Uint64(), deadline: deadline,
 	}
 }
 
 // Choose implements forward.Pin.
-func (p *pin) Choose(ctx context.Context) (forward.Choice, forward.Why) {
+func (p *pin) Choose(ctx context.Context) (forward.VersionChoice, forward.ChoiceReason) {
 	o := p.r.order(p.service)
 	c, why := p.chooseVersion(ctx, o)
 	if p.id != "" {
@@ -91,7 +91,7 @@
 	case o == nil || p.id == "":
 		return false
 	case !o.decided():
-		return p.inTrial || o.trial.Deciding(now)
+		return p.inTrial || o.trial.MayBeTaken(now)
 	case now-o.learntAt >= p.r.n.bound(kindRollOuts):
 		return false
 	}
@@ -122,7 +122,7 @@
 	r := p.r
 	r.mu.Lock()
 	delete(r.open, p)
-	end := sticky.Release{Key: p.key, Holder: p.holder, Value: p.value, Rest: r.sessionRetention()}
+	end := sticky.Release{Key: p.key, Holder: p.holder, Value: p.value, Retention: r.sessionRetention()}
 	r.mu.Unlock()
 	if version == "" {
 		end.Value = sticky.None
@@ -143,20 +143,20 @@
 	if o.decided() || o.trial.Worse() {
 		rank = rankDecided
 	}
-	return sticky.Hold{Key: o.key(p), Holder: p.holder, Longest: max(time.Until(p.deadline), 0) + p.r.sessionRetention(), Proposal: v, Rank: rank}
+	return sticky.Hold{Key: o.key(p), Holder: p.holder, MaxDuration: max(time.Until(p.deadline), 0) + p.r.sessionRetention(), Proposal: v, Rank: rank}
 }
 
 // chooseVersion returns the version that serves a request, with the reason; o is the roll-out
 // of its service or nil.
-func (p *pin) chooseVersion(ctx context.Context, o *order) (forward.Choice, forward.Why) {
+func (p *pin) chooseVersion(ctx context.Context, o *order) (forward.VersionChoice, forward.ChoiceReason) {
 	r := p.r
 	if v := r.n.view.OnlyVersion(p.service); v != "" {
-		return forward.Choice{Only: v}, forward.Why{Reason: whySettled}
+		return forward.VersionChoice{Version: v}, forward.ChoiceReason{Reason: whySettled}
 	}
 	if o == nil {
-		return forward.Choice{}, forward.Why{Reason: whyNoRollOut}
+		return forward.VersionChoice{}, forward.ChoiceReason{Reason: whyNoRollOut}
 	}
-	why := forward.Why{RollOutAge: o.trial.Age(r.clock())}
+	why := forward.ChoiceReason{RollOutAge: o.trial.Age(r.clock())}
 	switch {
 	case o.State == catalog.RollOutMoving || o.State == catalog.RollOutCompleted:
 		why.Reason = whyTaken
@@ -166,7 +166,7 @@
 		p.chooseInTrial(ctx, o, &why)
 	}
 	if isNewVersion(why.Reason) {
-		return forward.Choice{Only: o.Target}, why
+		return forward.VersionChoice{Version: o.Target}, why
 	}
 	return r.oldVersion(o), why
 }
@@ -178,8 +178,8 @@
 
 // chooseInTrial sets the reason while the trial is under way: a session that uses a version
 // stays there, and a session unknown to all keepers uses the new version where it is exposed.
-func (p *pin) chooseInTrial(ctx context.Context, o *order, why *forward.Why) {
-	exposed := p.inTrial && o.trial.Exposes(p.r.clock())
+func (p *pin) chooseInTrial(ctx context.Context, o *order, why *forward.ChoiceReason) {
+	exposed := p.inTrial && o.trial.IsExposing(p.r.clock())
 	why.Reason = whyBefore
 	switch {
 	case o.trial.Worse():
@@ -214,7 +214,7 @@
 
 // heldVersion returns the session's version from its keepers, which are asked once for a
 // request.
-func (p *pin) heldVersion(ctx context.Context, o *order, proposal sticky.Value, why *forward.Why) (sticky.Value, bool) {
+func (p *pin) heldVersion(ctx context.Context, o *order, proposal sticky.Value, why *forward.ChoiceReason) (sticky.Value, bool) {
 	r := p.r
 	r.mu.Lock()
 	value, asked, answer := p.value, p.value != sticky.None && p.key == o.key(p), p.answer
--- a/gateway/node/pins_test.go
+++ b/gateway/node/pins_test.go
@@ -38,7 +38,7 @@
 func begin(r *rollouts, session string) (forward.Pin, string) {
 	p := r.Begin("s", session, time.Now().Add(time.Minute))
 	c, _ := p.Choose(context.Background())
-	if c.Only == "v2" {
+	if c.Version == "v2" {
 		return p, "v2"
 	}
 	return p, "v1"
@@ -55,7 +55,7 @@
 func tryingSession(i int) string {
 	for n := 0; ; n++ {
 		id := fmt.Sprint("session", n)
-		if !trial.SessionOf("s", id).Tries(trial.Share(0.15)) {
+		if !trial.HashSession("s", id).Tries(trial.SessionShare(0.15)) {
 			continue
 		}
 		if i == 0 {
@@ -166,7 +166,7 @@
 		v.table.Learn(f.now, members...)
 		for i, other := range members {
 			if other != m {
-				v.table.Heard(f.now, &gossip.Message{From: other, Life: 1, Sequence: uint64(i + 1), Ready: true})
+				v.table.Apply(f.now, &gossip.Message{From: other, Incarnation: 1, Sequence: uint64(i + 1), Ready: true})
 			}
 		}
 		f.vms = append(f.vms, v)
@@ -210,13 +210,13 @@
 	v := f.vms[i]
 	words := v.reports(f.now)
 	for n, batch := range v.table.Round(f.now, f.rng, len(words) > 0) {
-		m := &gossip.Message{From: v.self, Life: 1, Sequence: 2*sequence + uint64(n), Ready: true, Others: batch.Others, Words: batch.Words}
+		m := &gossip.Message{From: v.self, Incarnation: 1, Sequence: 2*sequence + uint64(n), Ready: true, Others: batch.Others, Reports: batch.Reports}
 		for _, peer := range batch.To {
 			if f.rng.Float64() < lossShare {
 				continue
 			}
 			f.arrive = append(f.arrive, arrival{f.now + delay, f.at(peer), func(u *fleetVM) {
-				u.table.Heard(f.now, m)
+				u.table.Apply(f.now, m)
 				u.mergeReports(f.now, v.self.Name, words)
 			}})
 		}
--- a/gateway/node/rollouts.go
+++ b/gateway/node/rollouts.go
@@ -125,23 +125,23 @@
 // oldVersion is the choice for a request that doesn't use an order's version. If an earlier
 // roll-out was completed, the choice is that one's version: endpoints of the version it
 // replaced may still run, and sessions would return to them.
-func (r *rollouts) oldVersion(o *order) forward.Choice {
+func (r *rollouts) oldVersion(o *order) forward.VersionChoice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return forward.Choice{Only: r.inUse[o.Service], Not: o.Target}
+	return forward.VersionChoice{Version: r.inUse[o.Service], ExcludedVersion: o.Target}
 }
 
-// Answered implements forward.Versions.
-func (r *rollouts) Answered(a forward.Answered) {
+// RecordAnswer implements forward.Versions.
+func (r *rollouts) RecordAnswer(a forward.AnswerResult) {
 	o := r.order(a.Service)
 	slow := r.slow(a, o)
 	if o != nil && !o.decided() {
-		o.trial.Answered(a.Version == o.Target, a.Failed, slow)
+		o.trial.CountAnswer(a.Version == o.Target, a.Failed, slow)
 	}
 }
 
 // slow reports whether an answer took much longer than the old version usually does.
-func (r *rollouts) slow(a forward.Answered, o *order) bool {
+func (r *rollouts) slow(a forward.AnswerResult, o *order) bool {
 	if a.Failed || a.Took == 0 {
 		return false
 	}
@@ -174,7 +174,7 @@
 	defer r.mu.Unlock()
 	for service, o := range r.orders {
 		if !o.decided() || o.State == catalog.RollOutMoving {
-			orders = append(orders, rollOutReport{Service: service, ID: o.id, Age: o.trial.Age(now), Counts: o.trial.Own()})
+			orders = append(orders, rollOutReport{Service: service, ID: o.id, Age: o.trial.Age(now), Counts: o.trial.LocalCounts()})
 		}
 	}
 	return orders
@@ -184,7 +184,7 @@
 func (r *rollouts) mergeReports(now time.Duration, source string, orders []rollOutReport) {
 	for _, ow := range orders {
 		if o := r.order(ow.Service); o != nil && o.id == ow.ID {
-			o.trial.Heard(now, source, ow.Age, ow.Counts)
+			o.trial.SetPeerCounts(now, source, ow.Age, ow.Counts)
 		}
 	}
 }
@@ -214,12 +214,12 @@
 // is right.
 func (r *rollouts) nextState(now time.Duration, o *order) (next catalog.RollOutState, ok bool) {
 	if o.State == catalog.RollOutMoving {
-		return catalog.RollOutCompleted, o.trial.Moved(now, now-o.learntAt)
+		return catalog.RollOutCompleted, o.trial.MayStopOld(now, now-o.learntAt)
 	}
 	if o.decided() {
 		return o.State, false
 	}
-	d, reason := o.trial.Judge(now)
+	d, reason := o.trial.Decide(now)
 	if d != o.loggedDecision {
 		o.loggedDecision = d
 		s := o.trial.Sum()
--- a/gateway/node/rollouts_test.go
+++ b/gateway/node/rollouts_test.go
@@ -49,8 +49,8 @@
 }
 
 // choices counts the choices for 200 sessions.
-func (o *orders) choices() map[forward.Choice]int {
-	out := make(map[forward.Choice]int)
+func (o *orders) choices() map[forward.VersionChoice]int {
+	out := make(map[forward.VersionChoice]int)
 	for i := range 200 {
 		c, _ := o.Begin("s", fmt.Sprint("session", i), time.Now().Add(time.Minute)).Choose(context.Background())
 		out[c]++
@@ -64,17 +64,17 @@
 func TestReplacedVersionStaysReplaced(t *testing.T) {
 	o := newOrders()
 	o.receive("v2", 10, catalog.RollOutRunning)
-	require.Equal(t, map[forward.Choice]int{{Not: "v2"}: 200}, o.choices())
+	require.Equal(t, map[forward.VersionChoice]int{{ExcludedVersion: "v2"}: 200}, o.choices())
 	o.receive("v2", 10, catalog.RollOutCompleted)
-	require.Equal(t, map[forward.Choice]int{{Only: "v2"}: 200}, o.choices())
+	require.Equal(t, map[forward.VersionChoice]int{{Version: "v2"}: 200}, o.choices())
 	for _, state := range []catalog.RollOutState{"", catalog.RollOutRunning, catalog.RollOutRolledBack} {
 		o.receive("v3", 10, state)
-		require.Equal(t, map[forward.Choice]int{{Only: "v2", Not: "v3"}: 200}, o.choices(), "%q", state)
+		require.Equal(t, map[forward.VersionChoice]int{{Version: "v2", ExcludedVersion: "v3"}: 200}, o.choices(), "%q", state)
 	}
 	o.receive("v4", 30, catalog.RollOutRunning)
-	require.Equal(t, map[forward.Choice]int{{Only: "v2", Not: "v4"}: 200}, o.choices())
+	require.Equal(t, map[forward.VersionChoice]int{{Version: "v2", ExcludedVersion: "v4"}: 200}, o.choices())
 	o.receive("v4", 30, catalog.RollOutCompleted)
-	require.Equal(t, map[forward.Choice]int{{Only: "v4"}: 200}, o.choices())
+	require.Equal(t, map[forward.VersionChoice]int{{Version: "v4"}: 200}, o.choices())
 }
 
 // Guards against answers of the old version that are cut off. The platform stops the old
@@ -86,8 +86,8 @@
 	o.receive("v2", 10, catalog.RollOutRunning)
 	order := o.orders["s"]
 	for range 100 {
-		order.trial.Answered(false, false, false)
-		order.trial.Answered(true, false, false)
+		order.trial.CountAnswer(false, false, false)
+		order.trial.CountAnswer(true, false, false)
 	}
 	began := bootClock() - order.trial.Age(bootClock())
 	_, ok := o.nextState(began+10*time.Second, order)
@@ -97,7 +97,7 @@
 	require.Equal(t, catalog.RollOutMoving, next)
 
 	o.receive("v2", 10, catalog.RollOutMoving)
-	require.Equal(t, map[forward.Choice]int{{Only: "v2"}: 200}, o.choices())
+	require.Equal(t, map[forward.VersionChoice]int{{Version: "v2"}: 200}, o.choices())
 	order.learntAt = began + 10*time.Second
 	_, ok = o.nextState(began+14*time.Second, order)
 	require.False(t, ok)
--- a/gateway/node/state.go
+++ b/gateway/node/state.go
@@ -29,7 +29,7 @@
 func (n *Node) serveState(w http.ResponseWriter, _ *http.Request) {
 	d := Dump{
 		VM: n.s.VM, Ready: n.Ready(), Stopping: n.stopping.Load(), Active: n.handler.Active(),
-		ConfigAgeMs: n.view.ConfigAge().Milliseconds(), VMs: n.gossip.Table().Names(bootClock()),
+		ConfigAgeMs: n.view.ConfigAge().Milliseconds(), VMs: n.gossip.Table().AliveNames(bootClock()),
 		Endpoints: n.table.Rows(time.Now()), RollOuts: n.view.RollOuts(), IdleConns: n.pool.Idle(), Sessions: n.sticky.Sweep(),
 	}
 	if c := n.view.Config(); c != nil {
--- a/gateway/node/suspects.go
+++ b/gateway/node/suspects.go
@@ -63,7 +63,7 @@
 func (s *suspects) Quarantined(service string, f uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pool(service).tracker.Quarantined(time.Now(), poison.Fingerprint(f))
+	return s.pool(service).tracker.IsQuarantined(time.Now(), poison.Fingerprint(f))
 }
 
 // Begin implements forward.Poison.
@@ -82,9 +82,9 @@
 	p := s.pool(a.Service)
 	list := p.running[a.Endpoint]
 	if a.Survived {
-		p.tracker.Survived(poison.Fingerprint(a.Fingerprint))
+		p.tracker.RecordSuccess(poison.Fingerprint(a.Fingerprint))
 	}
-	if a.Broke && now.Sub(p.crashed[a.Endpoint]) > crashWindow {
+	if a.ConnectionBroke && now.Sub(p.crashed[a.Endpoint]) > crashWindow {
 		p.crashed[a.Endpoint] = now
 		go s.blame(a, slices.Clone(list))
 	}
@@ -110,7 +110,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool(a.Service).tracker.Crashed(time.Now(), a.Endpoint, inFlight, 0)
+	s.pool(a.Service).tracker.RecordCrash(time.Now(), a.Endpoint, inFlight, 0)
 }
 
 // recentCrashes returns the requests that were present at recent crashes, for other VMs.
--- a/gateway/node/suspects_test.go
+++ b/gateway/node/suspects_test.go
@@ -34,7 +34,7 @@
 			a.Begin("s", e, 7)
 			for _, f := range append(beside, 7) {
 				at := attempt(e, f)
-				at.Broke = true
+				at.ConnectionBroke = true
 				a.End(at)
 			}
 			synctest.Wait()
@@ -59,7 +59,7 @@
 			e := fmt.Sprint("e", i%9)
 			s.Begin("s", e, 7)
 			at := attempt(e, 7)
-			at.Broke = true
+			at.ConnectionBroke = true
 			s.End(at)
 			time.Sleep(300 * time.Millisecond)
 			synctest.Wait()
--- a/gateway/node/watchers.go
+++ b/gateway/node/watchers.go
@@ -77,7 +77,7 @@
 }
 
 // MayAsk implements view.SourcePolicy.
-func (w *sourcePolicy) MayAsk(left time.Duration) bool { return watching.MayAsk(w.rank(), left) }
+func (w *sourcePolicy) MayAsk(left time.Duration) bool { return watching.MayCall(w.rank(), left) }
 
 // Claim implements view.SourcePolicy.
 func (w *sourcePolicy) Claim() bool { return w.outage.Claim(bootClock()) }
@@ -90,6 +90,6 @@
 
 // Turn implements view.SourcePolicy.
 func (w *sourcePolicy) Turn() (time.Duration, bool) {
-	t := w.outage.Turn(bootClock(), w.rank)
-	return t.Wait, t.Ask
+	t := w.outage.NextTurn(bootClock(), w.rank)
+	return t.Wait, t.MayCall
 }
--- a/gateway/node/watchers_test.go
+++ b/gateway/node/watchers_test.go
@@ -35,7 +35,7 @@
 
 func receiveFrom(n *Node, incarnation uint64, ready bool, ms ...gossip.Member) {
 	for _, m := range ms {
-		n.gossip.Table().Heard(bootClock(), &gossip.Message{From: m, Life: incarnation, Sequence: 1, Ready: ready})
+		n.gossip.Table().Apply(bootClock(), &gossip.Message{From: m, Incarnation: incarnation, Sequence: 1, Ready: ready})
 	}
 }
 
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// Gone forgets an address that no longer belongs to an endpoint and closes its idle
+// Forget forgets an address that no longer belongs to an endpoint and closes its idle
 // connections.
-func (p *Pool) Gone(addr string) {
+func (p *Pool) Forget(addr string) {
 	p.detector.Forget(addr)
 	p.closeIdle(addr)
 }
@@ -190,9 +190,9 @@
 	delete(p.idle, addr)
 }
 
-// Connects reports whether an address accepts a connection. The new connection is kept for a
+// CanConnect reports whether an address accepts a connection. The new connection is kept for a
 // later request.
-func (p *Pool) Connects(addr string) bool {
+func (p *Pool) CanConnect(addr string) bool {
 	c, err := p.dial(context.Background(), addr, dialTimeout)
 	if err != nil {
 		return false
@@ -211,7 +211,7 @@
 		return nil, err
 	}
 	setUserTimeout(nc, userTimeout)
-	c := &conn{Conn: nc, onRead: func() { p.detector.Heard(time.Now(), addr) }}
+	c := &conn{Conn: nc, onRead: func() { p.detector.Received(time.Now(), addr) }}
 	c.r = bufio.NewReaderSize(c, bufferSize)
 	return c, nil
 }
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -129,7 +129,7 @@
 
 // An endpoint sends a second answer to the first request where the next answer is expected. The
 // second caller must get its own answer.
-func TestLateSecondAnswerIsReadPast(t *testing.T) {
+func TestLateSecondAnswerIsSkipped(t *testing.T) {
 	s := serve(t, func(c net.Conn, conn, n int, r *http.Request) bool {
 		id := r.Header.Get(idHeader)
 		if n == 2 {
@@ -194,7 +194,7 @@
 
 // An answer with a stated length ends early: the reader must get an error other than end of
 // file, or the caller would take a part for the whole.
-func TestCutAnswerIsNoEnd(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "Content-Length: 10\r\n\r\nabc",
 		"chunks": "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
--- a/gateway/upstream/watch.go
+++ b/gateway/upstream/watch.go
@@ -22,7 +22,7 @@
 // begin records that a request waits for an answer. If retryable is set, the request may also
 // be sent to another endpoint.
 func (p *Pool) begin(a *Answer, retryable bool) {
-	p.detector.Sent(time.Now(), a.addr)
+	p.detector.RequestSent(time.Now(), a.addr)
 	if !retryable {
 		return
 	}
@@ -36,7 +36,7 @@
 
 // end records that a request no longer waits.
 func (p *Pool) end(a *Answer) {
-	p.detector.Ended(a.addr)
+	p.detector.RequestEnded(a.addr)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.retryable[a.addr], a)
@@ -57,7 +57,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			for _, addr := range p.detector.Due(time.Now()) {
+			for _, addr := range p.detector.DueProbes(time.Now()) {
 				go p.probe(ctx, addr, notify)
 			}
 		}
@@ -70,8 +70,8 @@
 		started := time.Now()
 		answered := p.responds(ctx, addr)
 		now := time.Now()
-		overran := now.Sub(started) > silence.AnswerWithin+maxProbeOverrun
-		switch p.detector.Asked(started, now, addr, answered, overran) {
+		overran := now.Sub(started) > silence.ProbeTimeout+maxProbeOverrun
+		switch p.detector.ProbeDone(started, now, addr, answered, overran) {
 		case silence.Unsure:
 			if ctx.Err() == nil {
 				continue
@@ -90,7 +90,7 @@
 // responds reports whether anything answers at an address, even with a refusal or a reset. A
 // new connection is kept for a later request.
 func (p *Pool) responds(ctx context.Context, addr string) bool {
-	c, err := p.dial(ctx, addr, silence.AnswerWithin)
+	c, err := p.dial(ctx, addr, silence.ProbeTimeout)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 	}
--- a/gateway/view/fleet_test.go
+++ b/gateway/view/fleet_test.go
@@ -35,8 +35,8 @@
 func (g *fixed) Lost()                     { g.outage.Lost(g.clock(), 0) }
 func (g *fixed) Regained()                 { g.outage.Regained() }
 func (g *fixed) Turn() (time.Duration, bool) {
-	t := g.outage.Turn(g.clock(), func() int { return 0 })
-	return t.Wait, t.Ask
+	t := g.outage.NextTurn(g.clock(), func() int { return 0 })
+	return t.Wait, t.MayCall
 }
 
 // ranked is the SourcePolicy of one VM of a fleet in which all VMs know each other.
@@ -52,12 +52,12 @@
 }
 func (g *ranked) Read(peer string)               { g.peers.Read(peer) }
 func (g *ranked) Failed(peer string, err error)  { g.peers.Failed(g.clock(), peer, err == ErrStale) }
-func (g *ranked) MayAsk(left time.Duration) bool { return watching.MayAsk(g.rank, left) }
+func (g *ranked) MayAsk(left time.Duration) bool { return watching.MayCall(g.rank, left) }
 func (g *ranked) Claim() bool                    { return g.outage.Claim(g.clock()) }
 func (g *ranked) Lost()                          { g.outage.Lost(g.clock(), g.rank) }
 func (g *ranked) Turn() (time.Duration, bool) {
-	t := g.outage.Turn(g.clock(), func() int { return g.rank })
-	return t.Wait, t.Ask
+	t := g.outage.NextTurn(g.clock(), func() int { return g.rank })
+	return t.Wait, t.MayCall
 }
 
 // fleet holds VMs that follow four kinds of one platform, in virtual time.
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -65,7 +65,7 @@
 	// dozens of endpoints register when a fleet starts. It is a twentieth of the shortest bound
 	// on a change.
 	batchPause = 100 * time.Millisecond
-	// readerDropFailures is the number of consecutive failures, watching.FirstPause apart, at
+	// readerDropFailures is the number of consecutive failures, watching.RetryDelay apart, at
 	// which a feed sends its readers away and the VM counts as having lost the platform.
 	readerDropFailures = 2
 	// maxStalePeers is how many VMs with stale feeds a VM asks in one attempt: its parent and
@@ -115,7 +115,7 @@
 			sleep(ctx, peerRetryPause)
 		default:
 			f.noteFailure(ctx, err)
-			sleep(ctx, watching.FirstPause)
+			sleep(ctx, watching.RetryDelay)
 		}
 	}
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Known is closed once a configuration and the endpoints are known.
-func (v *View) Known() <-chan struct{} { return v.knownCh }
+// Loaded is closed once a configuration and the endpoints are known.
+func (v *View) Loaded() <-chan struct{} { return v.knownCh }
 
 // closeKnown closes the channel of Known once both a configuration and the endpoints are known.
 func (v *View) closeKnown(listed bool) {
@@ -174,7 +174,7 @@
 			return
 		}
 		delete(v.missing, c.Name)
-		if had && (old.Address != c.Value.Address || old.Born != c.Value.Born) {
+		if had && (old.Address != c.Value.Address || old.StartedAt != c.Value.StartedAt) {
 			// Failures of the endpoint's previous process must not count against the new one.
 			v.remove(c.Name, "started again")
 			had = false
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -140,7 +140,7 @@
 	d.table.Done(time.Now(), c, placement.Broken)
 	require.Empty(t, d.served())
 	again := entry("e1", 2, false)
-	again.Value.Born = 5
+	again.Value.StartedAt = 5
 	d.ApplyEndpoints(Update[catalog.Endpoint]{Changes: []Change[catalog.Endpoint]{again}})
 	require.Equal(t, map[string]bool{"e1": true}, d.served())
 }
--- a/ledger/bill/spool.go
+++ b/ledger/bill/spool.go
@@ -18,7 +18,7 @@
 	// second at the intended size, so this lasts for an outage of an hour and takes about 20 MB.
 	DefaultMaxBills = 120_000
 	// maxBatchBills is the maximum number of bills in a batch; the batch's size stays far below
-	// durable.MaxValue.
+	// durable.MaxValueBytes.
 	maxBatchBills = 4000
 	// aggregateAfter is the age at which a minute may be summed up. It is longer than all but
 	// the longest requests take. Later bills are still counted, but their minute must be summed
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -64,9 +64,9 @@
 	Repeat *Claim
 }
 
-// Living reports whether a VM's incarnation is known to be alive. It may be wrong either way:
+// IsAlive reports whether a VM's incarnation is known to be alive. It may be wrong either way:
 // "in progress" and "outcome unknown" both forbid another run.
-type Living func(vm string, incarnation uint64) bool
+type IsAlive func(vm string, incarnation uint64) bool
 
 // Claims ensures that a request runs at most once.
 //
@@ -76,13 +76,13 @@
 // connection to the endpoint could be made.
 type Claims struct {
 	ledger  *Ledger
-	isAlive Living
+	isAlive IsAlive
 	settler settler
 }
 
 // NewClaims returns the claims of a ledger. If living is nil, open claims of other VMs are
 // reported as unknown.
-func NewClaims(l *Ledger, living Living) *Claims {
+func NewClaims(l *Ledger, living IsAlive) *Claims {
 	c := &Claims{ledger: l, isAlive: living}
 	c.settler.ledger = l
 	return c
--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -21,7 +21,7 @@
 	booked     = Outcome{Known: true, Status: 201, Answer: []byte("booked")}
 )
 
-func testClaims(s durable.Store, vm string, living Living) *Claims {
+func testClaims(s durable.Store, vm string, living IsAlive) *Claims {
 	return NewClaims(New(s, nil, nil, Settings{VM: vm, Incarnation: 1}), living)
 }
 
--- a/ledger/pin/pin.go
+++ b/ledger/pin/pin.go
@@ -39,9 +39,9 @@
 type Pin struct {
 	Version string
 	Source  Source
-	// Moved is the version that the session had to leave because it is not usable any more;
+	// MovedFrom is the version that the session had to leave because it is not usable any more;
 	// empty if the session did not move.
-	Moved string
+	MovedFrom string
 	// Token is a new token, which the caller sends with the session's next request.
 	Token string
 }
@@ -60,11 +60,11 @@
 // still be used. now is the wall-clock time, for the token's lifetime. The only error is
 // ErrNoVersion.
 //
-// If a pinned version is not usable any more, the session moves to another and Moved holds the
+// If a pinned version is not usable any more, the session moves to another and MovedFrom holds the
 // version that it left. The next version is decided under a key that contains the version left,
 // so that all VMs agree on it. If the version left becomes usable again, a session without a
 // token returns to it.
-func (p *Pins) Version(ctx context.Context, s Session, token string, shares []Share, usable func(string) bool, now time.Time) (Pin, error) {
+func (p *Pins) Version(ctx context.Context, s Session, token string, shares []VersionWeight, usable func(string) bool, now time.Time) (Pin, error) {
 	var moved string
 	if version, err := p.signer.Verify(s, token, now); err == nil {
 		if usable(version) {
@@ -72,7 +72,7 @@
 		}
 		moved = version
 	}
-	choice, ok := Choose(s, shares)
+	choice, ok := ChooseVersion(s, shares)
 	if !ok {
 		return Pin{}, ErrNoVersion
 	}
@@ -85,14 +85,14 @@
 	for range maxMoves {
 		won, _, err := p.ledger.Decide(ctx, recordKey(s, moved), []byte(choice), RecordRetentionHours)
 		if err != nil {
-			return Pin{Version: choice, Source: SourceHash, Moved: moved}
+			return Pin{Version: choice, Source: SourceHash, MovedFrom: moved}
 		}
 		if usable(string(won)) {
-			return Pin{Version: string(won), Source: SourceRecord, Moved: moved}
+			return Pin{Version: string(won), Source: SourceRecord, MovedFrom: moved}
 		}
 		moved = string(won)
 	}
-	return Pin{Version: choice, Source: SourceHash, Moved: moved}
+	return Pin{Version: choice, Source: SourceHash, MovedFrom: moved}
 }
 
 // maxMoves is the maximum number of records that decide follows. It is only reached if more
--- a/ledger/pin/pin_test.go
+++ b/ledger/pin/pin_test.go
@@ -78,8 +78,8 @@
 	moved := 0
 	for i := range sessions {
 		s := Session{"norte", fmt.Sprint(i)}
-		before, _ := Choose(s, []Share{{"v1", 90}, {"v2", 10}, {"v3", 0}})
-		after, _ := Choose(s, []Share{{"v2", 30}, {"v1", 70}})
+		before, _ := ChooseVersion(s, []VersionWeight{{"v1", 90}, {"v2", 10}, {"v3", 0}})
+		after, _ := ChooseVersion(s, []VersionWeight{{"v2", 30}, {"v1", 70}})
 		count[before]++
 		if before != after {
 			moved++
@@ -89,19 +89,19 @@
 	require.Zero(t, count["v3"])
 	require.Less(t, math.Abs(float64(count["v2"])/sessions-0.1), 0.01)
 	require.Less(t, math.Abs(float64(moved)/sessions-0.2), 0.02)
-	_, ok := Choose(session, []Share{{"v1", 0}})
+	_, ok := ChooseVersion(session, []VersionWeight{{"v1", 0}})
 	require.False(t, ok)
 }
 
 // Guards against a session that changes its version without need. A caller's requests reach one
 // VM after another while the roll-out advances, the store fails and the session's version is
 // withdrawn. Only the withdrawal may move the session: once, to the same version on every VM,
-// and reported in Moved.
+// and reported in MovedFrom.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	s := store.New()
 	ctx := t.Context()
-	old, stepped := []Share{{"v1", 1}}, []Share{{"v2", 1}}
-	at := func(vm, token string, shares []Share, usable func(string) bool) Pin {
+	old, stepped := []VersionWeight{{"v1", 1}}, []VersionWeight{{"v2", 1}}
+	at := func(vm, token string, shares []VersionWeight, usable func(string) bool) Pin {
 		t.Helper()
 		p, err := newPins(t, s, vm).Version(ctx, session, token, shares, usable, now)
 		require.NoError(t, err)
@@ -123,9 +123,9 @@
 	for vm, token := range map[string]string{"e": "", "f": first.Token} {
 		p := at(vm, token, stepped, notV1)
 		require.Equal(t, "v2", p.Version)
-		require.Equal(t, "v1", p.Moved)
+		require.Equal(t, "v1", p.MovedFrom)
 	}
-	third := []Share{{"v3", 1}}
+	third := []VersionWeight{{"v3", 1}}
 	require.Equal(t, "v2", at("g", "", third, notV1).Version, "the version after the move is not kept")
 	_, err := newPins(t, s, "a").Version(ctx, Session{"norte", "s2"}, "", nil, anyVersion, now)
 	require.ErrorIs(t, err, ErrNoVersion)
@@ -140,7 +140,7 @@
 
 func TestMovesAreBounded(t *testing.T) {
 	p, err := New(echoDecider{}, newSigner(t, keyA)).Version(t.Context(), session, "",
-		[]Share{{"v1", 1}}, func(string) bool { return false }, now)
+		[]VersionWeight{{"v1", 1}}, func(string) bool { return false }, now)
 	require.NoError(t, err)
 	require.Equal(t, SourceHash, p.Source)
 }
--- a/ledger/pin/share.go
+++ b/ledger/pin/share.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is a version's weight in a roll-out.
-type Share struct {
+// VersionWeight is a version's weight in a roll-out.
+type VersionWeight struct {
 	Version string
 	// Weight is relative to the weights of the other versions; a version with zero gets no new
 	// session.
 	Weight float64
 }
 
-// Choose returns the version for a new session, and false if no version has a weight. The
+// ChooseVersion returns the version for a new session, and false if no version has a weight. The
 // result depends only on the arguments, so that VMs with the same configuration revision agree
 // without communication. The method is weighted rendezvous hashing: after a change of weights
 // only as many sessions change their version as the weights require.
 //
 // Load pattern: many new sessions while the store is down. Without it each VM would choose by
 // itself, and a session would get another version on each VM.
-func Choose(s Session, shares []Share) (string, bool) {
+func ChooseVersion(s Session, shares []VersionWeight) (string, bool) {
 	best, found := "", false
 	bestScore := math.Inf(-1)
 	for _, share := range shares {
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -13,7 +13,7 @@
 	// sealBytes is the size of the head above which its entries are moved to a segment. Every
 	// write carries the head, and a node has 14 KB/s for control traffic.
 	sealBytes = 8 << 10
-	// maxSegment is the maximum size of a merged segment, below durable.MaxValue.
+	// maxSegment is the maximum size of a merged segment, below durable.MaxValueBytes.
 	maxSegment = 896 << 10
 	// maxBatch is the maximum size of the operations in one write.
 	maxBatch = 512 << 10
--- a/policy/admission/bench_test.go
+++ b/policy/admission/bench_test.go
@@ -30,7 +30,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					offer()
-					q.Done(start, running, time.Second, 1)
+					q.Release(start, running, time.Second, 1)
 					running, _ = q.Next(start)
 					q.Refused(start)
 				}
--- a/policy/admission/doc.go
+++ b/policy/admission/doc.go
@@ -29,7 +29,7 @@
 //   - Within an account, a shorter item overtakes an item if it arrives within the
 //     expected service time of that item.
 //
-// The queue counts slots (SetCapacity, Next, Done) and has no knowledge of endpoints.
+// The queue counts slots (SetCapacity, Next, Release) and has no knowledge of endpoints.
 //
 // Lock order: Queue.mu is a leaf.
 package admission
--- a/policy/admission/example_test.go
+++ b/policy/admission/example_test.go
@@ -27,7 +27,7 @@
 	fmt.Println(late.Outcome == admission.Refused, late.Reason, late.RetryAfter > 0)
 
 	now = now.Add(4 * time.Second)
-	q.Done(now, admission.Item{ID: 1, Account: "baker", Size: 4}, 4*time.Second, 4)
+	q.Release(now, admission.Item{ID: 1, Account: "baker", Size: 4}, 4*time.Second, 4)
 	next, ok := q.Next(now)
 	fmt.Println(next.ID, ok)
 	// Output:
--- a/policy/admission/queue.go
+++ b/policy/admission/queue.go
@@ -133,9 +133,9 @@
 	return Item{}, false
 }
 
-// Done frees the slot of an item that ran. elapsed is its service time, or 0 if the item
+// Release frees the slot of an item that ran. elapsed is its service time, or 0 if the item
 // failed and its time has no meaning. actual is the work that it took, or 0 if unknown.
-func (q *Queue) Done(now time.Time, it Item, elapsed time.Duration, actual float64) {
+func (q *Queue) Release(now time.Time, it Item, elapsed time.Duration, actual float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running = max(q.running-1, 0)
--- a/policy/admission/queue_test.go
+++ b/policy/admission/queue_test.go
@@ -24,7 +24,7 @@
 	q.SetCapacity(start, 1)
 	it := item(0, "warm-up", config.ClassImmediate, time.Hour)
 	q.Offer(start, it)
-	q.Done(start, it, time.Second, 0)
+	q.Release(start, it, time.Second, 0)
 	q.Forget("warm-up")
 	q.SetCapacity(start, slots)
 	return q
@@ -47,7 +47,7 @@
 	last := Item{Account: "a0"} // the first one offered runs
 	for range 40 {
 		got[last.Account]++
-		q.Done(start, last, 0, 0)
+		q.Release(start, last, 0, 0)
 		last, _ = q.Next(start)
 	}
 	require.InDelta(t, 30, got["a1"], 1)
@@ -82,7 +82,7 @@
 			for _, it := range c.items {
 				require.Equal(t, Queued, q.Offer(start, it).Outcome)
 			}
-			q.Done(start, first, 0, 0)
+			q.Release(start, first, 0, 0)
 			got, ok := q.Next(start)
 			require.True(t, ok)
 			require.Equal(t, c.want, got.ID)
@@ -117,7 +117,7 @@
 				}
 				it := item(id, account, config.ClassImmediate, time.Hour)
 				q.Offer(start, it)
-				q.Done(start, it, 0, 0)
+				q.Release(start, it, 0, 0)
 			}
 			q.Refused(start.Add(checkInterval))
 			for id := range uint64(running) {
@@ -145,7 +145,7 @@
 	for id := uint64(3); id < 40; id++ {
 		now = now.Add(time.Second)
 		q.Offer(now, flood(id))
-		q.Done(now, running, time.Second, 0)
+		q.Release(now, running, time.Second, 0)
 		require.Empty(t, q.Refused(now))
 		running, _ = q.Next(now)
 		if running.ID == 2 {
@@ -185,7 +185,7 @@
 			q.Offer(start, item(id, "a", config.ClassInteractive, 30*time.Second))
 		}
 		now := start.Add(10 * time.Second)
-		q.Done(now, item(0, "a", config.ClassInteractive, 0), 10*time.Second, 0)
+		q.Release(now, item(0, "a", config.ClassInteractive, 0), 10*time.Second, 0)
 		require.NotEmpty(t, q.Refused(now))
 	})
 	t.Run("it would make an accepted item late", func(t *testing.T) {
@@ -269,7 +269,7 @@
 						open[it.ID] = it
 						q.PutBack(now, it)
 					} else {
-						q.Done(now, it, time.Duration(it.Size*float64(time.Second)), it.Size)
+						q.Release(now, it, time.Duration(it.Size*float64(time.Second)), it.Size)
 					}
 				}
 			case 4:
--- a/policy/admission/refuse.go
+++ b/policy/admission/refuse.go
@@ -199,7 +199,7 @@
 // with a jitter of a quarter in either direction.
 func (q *Queue) retryAfter(now time.Time, it Item, reason Reason, late time.Duration) time.Duration {
 	earliest := max(late, minRetryAfter)
-	if reason == ReasonNoCapacity || reason == ReasonBroken {
+	if reason == ReasonNoCapacity || reason == ReasonPoolFailing {
 		earliest = noCapacityRetryAfter
 	}
 	work := seconds(it.Size / (retryShare * q.est.rate(max(q.capacity, 1))))
--- a/policy/admission/types.go
+++ b/policy/admission/types.go
@@ -28,7 +28,7 @@
 
 // The outcomes of an offer.
 const (
-	// Run means that the item is to be dispatched now. It holds a slot until Done or
+	// Run means that the item is to be dispatched now. It holds a slot until Release or
 	// PutBack.
 	Run Outcome = iota
 	// Queued means that a later call of Next or Refused returns the item.
@@ -49,8 +49,8 @@
 	ReasonFull Reason = "queue-full"
 	// ReasonNoCapacity means that no endpoint of the pool accepts work.
 	ReasonNoCapacity Reason = "no-capacity"
-	// ReasonBroken means that nearly all answers of the pool fail.
-	ReasonBroken Reason = "pool-failing"
+	// ReasonPoolFailing means that nearly all answers of the pool fail.
+	ReasonPoolFailing Reason = "pool-failing"
 )
 
 // Verdict is the answer to an offer.
--- a/policy/cascade/cascade_test.go
+++ b/policy/cascade/cascade_test.go
@@ -129,7 +129,7 @@
 			l := NewLearner(exact())
 			p, err := l.Plan(a, Chain(versions(), a, "mini"), Request{Repeatable: true, Class: config.ClassDeferrable, MaxTokens: 1000}, start(), rand.New(rand.NewPCG(seed, 2)))
 			require.NoError(t, err)
-			require.Equal(t, c.want, l.Judge(p, c.step, c.outcome, start()))
+			require.Equal(t, c.want, l.Evaluate(p, c.step, c.outcome, start()))
 		})
 	}
 }
@@ -149,7 +149,7 @@
 	for range l.settings.RatingFailures {
 		p := plan(now)
 		require.Len(t, p.Steps, 3)
-		l.Judge(p, 0, Outcome{RatingErr: errTest}, now)
+		l.Evaluate(p, 0, Outcome{RatingErr: errTest}, now)
 	}
 	down := plan(now)
 	require.Equal(t, []string{"base"}, names(down))
@@ -160,7 +160,7 @@
 	probe := plan(now)
 	require.Len(t, probe.Steps, 3)
 	require.Len(t, plan(now).Steps, 1, "only one request probes")
-	l.Judge(probe, 0, Outcome{Rating: 0.9}, now)
+	l.Evaluate(probe, 0, Outcome{Rating: 0.9}, now)
 	require.Len(t, plan(now).Steps, 3)
 }
 
@@ -187,7 +187,7 @@
 				if rng.IntN(5) == 0 {
 					o.Err = errTest
 				}
-				d := l.Judge(p, i, o, start())
+				d := l.Evaluate(p, i, o, start())
 				if d.Action == Accept {
 					answers++
 				}
--- a/policy/cascade/judge.go
+++ b/policy/cascade/judge.go
@@ -54,7 +54,7 @@
 // may be discarded are rated.
 func (p Plan) NeedsRating(i int) bool { return p.Steps[i].Buffered }
 
-// Judge decides whether the answer of step i is accepted, and updates the
+// Evaluate decides whether the answer of step i is accepted, and updates the
 // acceptance rates from its rating.
 //
 // Without a rating, the answer is accepted if a share GoodShare of this version's
@@ -63,7 +63,7 @@
 // quality while there are few ratings. The target is the quality that the account
 // was promised, and the spend cap bounds the cost. After a few missing ratings,
 // Plan no longer includes steps that can't be rated.
-func (l *Learner) Judge(p Plan, i int, o Outcome, now time.Time) Decision {
+func (l *Learner) Evaluate(p Plan, i int, o Outcome, now time.Time) Decision {
 	last := i == len(p.Steps)-1
 	if o.Err != nil {
 		if last || !p.fitsSpendCap(i+1, o.Spent) || o.NoTime {
--- a/policy/loadtest/attempt.go
+++ b/policy/loadtest/attempt.go
@@ -18,7 +18,7 @@
 	engine    *engine
 	job       *job
 	startedAt time.Time
-	pick      picker.Request // copy from the time of the pick, for Table.Done
+	pick      picker.Request // copy from the time of the pick, for Table.Release
 }
 
 // attempt dispatches the call to an endpoint, and returns false if no endpoint has
@@ -26,7 +26,7 @@
 func (v *vm) attempt(c *call) bool {
 	now := v.run.loop.now
 	if v.modules.Poison {
-		c.pick.Suspect = v.poison.Suspect(now, c.fingerprint)
+		c.pick.Suspect = v.poison.IsSuspect(now, c.fingerprint)
 	}
 	e, miss := v.choose(now, c)
 	if miss != picker.Picked {
@@ -35,7 +35,7 @@
 	c.attempts++
 	if c.attempts == 1 {
 		v.run.result.firstWork += c.req.estimate
-		v.budget.First(c.item.Account, c.req.estimate)
+		v.budget.RecordFirst(c.item.Account, c.req.estimate)
 	} else {
 		v.run.result.repeatedWork += c.req.estimate
 	}
@@ -44,7 +44,7 @@
 	v.running[e.Name][c] = true
 	a.job = a.engine.submit(c.req, func(end attemptOutcome) { v.attemptEnded(a, end) })
 	if v.modules.Hedge && len(c.active) == 1 && c.req.idempotent {
-		after := retry.HedgeAfter(v.expected(c), c.req.deadline.Sub(now))
+		after := retry.HedgeDelay(v.expected(c), c.req.deadline.Sub(now))
 		v.run.loop.after(after, func() { v.hedge(a) })
 	}
 	return true
@@ -114,14 +114,14 @@
 	if a.job.prefixCached {
 		size *= 1 - cachedPrefixSaving
 	}
-	v.table.Done(now, a.endpoint, &a.pick, limit.Sample{
+	v.table.Release(now, a.endpoint, &a.pick, limit.Sample{
 		Latency: latency, Size: size, Refused: end == full, Failed: end == failed || end == crashed,
 	})
 	if end == answered && a.job.prefixCached {
-		v.table.Cached(a.endpoint, &a.pick, len(a.pick.Prefix))
+		v.table.RecordCached(a.endpoint, &a.pick, len(a.pick.Prefix))
 	}
 	if end == answered && v.modules.Poison {
-		v.poison.Survived(c.fingerprint)
+		v.poison.RecordSuccess(c.fingerprint)
 	}
 	if end != full {
 		v.recordOutlier(outlier.Result{Endpoint: name, Failed: end != answered})
@@ -134,7 +134,7 @@
 	for _, a := range c.active {
 		a.engine.cancel(a.job)
 		delete(v.running[a.endpoint.Name], c)
-		v.table.Done(now, a.endpoint, &a.pick, limit.Sample{Failed: true})
+		v.table.Release(now, a.endpoint, &a.pick, limit.Sample{Failed: true})
 	}
 	c.active = nil
 }
@@ -172,7 +172,7 @@
 	case !c.req.idempotent || c.attempts >= retry.MaxAttempts:
 		return false
 	}
-	if v.modules.Poison && v.poison.Quarantined(now, c.fingerprint) {
+	if v.modules.Poison && v.poison.IsQuarantined(now, c.fingerprint) {
 		return false
 	}
 	v.run.loop.after(after, func() {
--- a/policy/loadtest/modules.go
+++ b/policy/loadtest/modules.go
@@ -73,7 +73,7 @@
 	SetCapacity(now time.Time, slots int)
 	Offer(now time.Time, it admission.Item) admission.Verdict
 	Next(now time.Time) (admission.Item, bool)
-	Done(now time.Time, it admission.Item, elapsed time.Duration, actual float64)
+	Release(now time.Time, it admission.Item, elapsed time.Duration, actual float64)
 	PutBack(now time.Time, it admission.Item)
 	Remove(it admission.Item) bool
 	Refused(now time.Time) []admission.Refusal
@@ -107,7 +107,7 @@
 	return it, true
 }
 
-func (f *fifo) Done(time.Time, admission.Item, time.Duration, float64) { f.running-- }
+func (f *fifo) Release(time.Time, admission.Item, time.Duration, float64) { f.running-- }
 
 func (f *fifo) PutBack(_ time.Time, it admission.Item) {
 	f.running--
--- a/policy/loadtest/run.go
+++ b/policy/loadtest/run.go
@@ -121,13 +121,13 @@
 			v.queue = admission.New(admission.Config{}, rand.New(rand.NewPCG(seed, uint64(200+i))))
 		}
 		v.table = v.newTable(m)
-		v.table.Set(r.specs(i))
+		v.table.SetEndpoints(r.specs(i))
 		var names []string
 		for _, e := range r.engineOrder {
 			names = append(names, e.name)
 			v.running[e.name] = make(map[*call]bool)
 		}
-		v.outlier.Set(names)
+		v.outlier.SetEndpoints(names)
 		v.dispatchQueued()
 		r.vms = append(r.vms, v)
 		r.loop.every(queueCheckInterval, queueCheckInterval, v.dispatchQueued)
@@ -206,7 +206,7 @@
 		prints = append(prints, c.fingerprint)
 	}
 	if len(prints) > 0 {
-		v.poison.Crashed(v.run.loop.now, e.name, prints, 0)
+		v.poison.RecordCrash(v.run.loop.now, e.name, prints, 0)
 	}
 }
 
@@ -233,7 +233,7 @@
 		r.loop.after(reportLag, func() {
 			e.reportedLoad = load
 			for _, v := range r.vms {
-				v.table.Report(e.name, picker.Report{InFlight: load, At: taken})
+				v.table.ApplyLoadReport(e.name, picker.LoadReport{InFlight: load, At: taken})
 			}
 		})
 	}
@@ -243,12 +243,12 @@
 // it.
 func (r *run) cacheEvent(e *engine, stored, removed []uint64) {
 	e.sequence++
-	ev := picker.Event{Sequence: e.sequence, Stored: stored, Removed: removed}
+	ev := picker.CacheEvent{Sequence: e.sequence, Stored: stored, Removed: removed}
 	for _, v := range r.vms {
 		if r.lossRand.IntN(eventLoss) == 0 {
 			continue
 		}
-		r.loop.after(eventLag, func() { v.table.Event(e.name, ev) })
+		r.loop.after(eventLag, func() { v.table.ApplyCacheEvent(e.name, ev) })
 	}
 }
 
@@ -262,5 +262,5 @@
 func fingerprintOf(r *request) poison.Fingerprint {
 	var body [8]byte
 	binary.LittleEndian.PutUint64(body[:], r.id&baseIDMask)
-	return poison.Of(accountName(r.account), poolName, body[:])
+	return poison.NewFingerprint(accountName(r.account), poolName, body[:])
 }
--- a/policy/loadtest/vm.go
+++ b/policy/loadtest/vm.go
@@ -55,14 +55,14 @@
 	if r.prefix != 0 {
 		c.pick.Prefix = []uint64{r.prefix}
 	}
-	if v.modules.Poison && v.poison.Quarantined(now, c.fingerprint) {
+	if v.modules.Poison && v.poison.IsQuarantined(now, c.fingerprint) {
 		if !r.poison {
 			v.run.result.FalseQuarantines++
 		}
 		v.run.quarantined(c)
 		return c
 	}
-	if v.modules.Outlier && v.outlier.Broken(now) {
+	if v.modules.Outlier && v.outlier.CircuitOpen(now) {
 		v.run.refused(c, v.retryAfter(now, c))
 		return c
 	}
@@ -81,7 +81,7 @@
 // again.
 func (v *vm) retryAfter(now time.Time, c *call) time.Duration {
 	if q, ok := v.queue.(*admission.Queue); ok {
-		return q.RetryAfter(now, c.item, admission.ReasonBroken)
+		return q.RetryAfter(now, c.item, admission.ReasonPoolFailing)
 	}
 	return time.Second
 }
@@ -100,7 +100,7 @@
 
 // choose selects an endpoint with the picker, by the least reported load or by
 // round robin.
-func (v *vm) choose(now time.Time, c *call) (*picker.Endpoint, picker.Miss) {
+func (v *vm) choose(now time.Time, c *call) (*picker.Endpoint, picker.NoChoiceReason) {
 	if v.modules.Picker {
 		return v.table.Pick(now, v.rng, &c.pick)
 	}
@@ -133,7 +133,7 @@
 func (v *vm) finish(c *call, elapsed time.Duration) {
 	c.ended = true
 	c.holdsSlot = false
-	v.queue.Done(v.run.loop.now, c.item, elapsed, 0)
+	v.queue.Release(v.run.loop.now, c.item, elapsed, 0)
 }
 
 // hangUp ends a call whose caller leaves at its deadline.
@@ -144,7 +144,7 @@
 	c.ended = true
 	if c.holdsSlot {
 		v.cancelAttempts(c)
-		v.queue.Done(v.run.loop.now, c.item, 0, 0)
+		v.queue.Release(v.run.loop.now, c.item, 0, 0)
 	} else {
 		v.queue.Remove(c.item)
 	}
@@ -157,7 +157,7 @@
 func (v *vm) dispatchQueued() {
 	now := v.run.loop.now
 	if v.modules.Outlier {
-		for _, change := range v.outlier.Due(now) {
+		for _, change := range v.outlier.StartProbations(now) {
 			v.applyEjection(change)
 		}
 	}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -8,7 +8,7 @@
 // At most MaxShare of a pool is ejected: when most endpoints look faulty, the cause is
 // shared (a bad input, a failed network), and ejecting more would put all load on the
 // few that remain. When nearly all requests to a pool fail, its circuit opens instead:
-// Broken reports it, and the caller refuses requests at once apart from probes.
+// CircuitOpen reports it, and the caller refuses requests at once apart from probes.
 //
 // Endpoints are not ejected for their latency, since each return of a slow endpoint on
 // probation delays as many requests as it delayed before. The adaptive limit and hedges
@@ -107,8 +107,8 @@
 	return &Detector{endpoints: make(map[string]*endpoint)}
 }
 
-// Set replaces the endpoints of the pool. Endpoints that stay keep their state.
-func (d *Detector) Set(names []string) {
+// SetEndpoints replaces the endpoints of the pool. Endpoints that stay keep their state.
+func (d *Detector) SetEndpoints(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	keep := make(map[string]*endpoint, len(names))
@@ -147,8 +147,8 @@
 	return Change{}, false
 }
 
-// Due puts the endpoints whose ejection has ended on probation and returns their changes.
-func (d *Detector) Due(now time.Time) []Change {
+// StartProbations puts the endpoints whose ejection has ended on probation and returns their changes.
+func (d *Detector) StartProbations(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.ejected == 0 {
@@ -183,10 +183,10 @@
 	return Healthy
 }
 
-// Broken reports whether the pool's circuit is open and the request is to be refused at
-// once. While the circuit is open, Broken returns false for one request per
+// CircuitOpen reports whether the pool's circuit is open and the request is to be refused at
+// once. While the circuit is open, CircuitOpen returns false for one request per
 // probeInterval, which serves as a probe.
-func (d *Detector) Broken(now time.Time) bool {
+func (d *Detector) CircuitOpen(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.samples < brokenSamples || d.errors < brokenRate {
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -16,7 +16,7 @@
 		names[i] = fmt.Sprint("e", i)
 	}
 	d := New()
-	d.Set(names)
+	d.SetEndpoints(names)
 	return d, names
 }
 
@@ -72,15 +72,15 @@
 func TestProbation(t *testing.T) {
 	d, _ := newPool(9)
 	require.True(t, recordFailures(d, "e0", consecutiveErrors))
-	require.Empty(t, d.Due(start.Add(baseEjection-1)))
+	require.Empty(t, d.StartProbations(start.Add(baseEjection-1)))
 	now := start.Add(baseEjection)
-	require.Equal(t, []Change{{"e0", Probation}}, d.Due(now))
+	require.Equal(t, []Change{{"e0", Probation}}, d.StartProbations(now))
 	c, ok := d.Record(now, Result{Endpoint: "e0", Failed: true})
 	require.True(t, ok)
 	require.Equal(t, Ejected, c.State)
-	require.Empty(t, d.Due(now.Add(2*baseEjection-1)))
+	require.Empty(t, d.StartProbations(now.Add(2*baseEjection-1)))
 	now = now.Add(2 * baseEjection)
-	require.Len(t, d.Due(now), 1)
+	require.Len(t, d.StartProbations(now), 1)
 	for range probationPasses {
 		c, ok = d.Record(now, Result{Endpoint: "e0"})
 	}
@@ -93,15 +93,15 @@
 func TestCircuit(t *testing.T) {
 	d, names := newPool(9)
 	for i := range 40 {
-		require.False(t, i < brokenSamples-1 && d.Broken(start))
+		require.False(t, i < brokenSamples-1 && d.CircuitOpen(start))
 		d.Record(start, Result{Endpoint: names[i%9], Failed: true})
 	}
 	now := start.Add(time.Minute)
-	require.False(t, d.Broken(now), "the first probe")
-	require.True(t, d.Broken(now))
-	require.True(t, d.Broken(now.Add(probeInterval-1)))
-	require.False(t, d.Broken(now.Add(probeInterval)), "the next probe")
+	require.False(t, d.CircuitOpen(now), "the first probe")
+	require.True(t, d.CircuitOpen(now))
+	require.True(t, d.CircuitOpen(now.Add(probeInterval-1)))
+	require.False(t, d.CircuitOpen(now.Add(probeInterval)), "the next probe")
 	d.Record(now, Result{Endpoint: names[8]})
-	require.False(t, d.Broken(now))
-	require.False(t, d.Broken(now))
+	require.False(t, d.CircuitOpen(now))
+	require.False(t, d.CircuitOpen(now))
 }
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -21,39 +21,39 @@
 type Attempt struct {
 	// Within is a time within which nearly all heads arrive; 0 if unknown.
 	Within time.Duration
-	// Aim is the target latency of the answer, Left the caller's remaining time.
-	Aim, Left time.Duration
+	// TargetLatency is the target latency of the answer, Remaining the caller's remaining time.
+	TargetLatency, Remaining time.Duration
 	// AttemptsLeft is the number of attempts that may follow this one.
 	AttemptsLeft int
 }
 
-// WithinOf derives Attempt.Within from an estimate based on the work under way; 0 if there is
+// WithinFromEstimate derives Attempt.Within from an estimate based on the work under way; 0 if there is
 // none.
-func WithinOf(estimate time.Duration) time.Duration { return estimateFactor * estimate }
+func WithinFromEstimate(estimate time.Duration) time.Duration { return estimateFactor * estimate }
 
-// For returns how long to wait for the head. ok is false if the attempt runs until the caller's
+// Timeout returns how long to wait for the head. ok is false if the attempt runs until the caller's
 // deadline: no attempt or no time is left for another one, or the expected time is unknown.
-func For(a Attempt) (wait time.Duration, ok bool) {
-	if a.AttemptsLeft < 1 || a.Aim <= 0 || a.Within <= 0 {
+func Timeout(a Attempt) (wait time.Duration, ok bool) {
+	if a.AttemptsLeft < 1 || a.TargetLatency <= 0 || a.Within <= 0 {
 		return 0, false
 	}
-	wait = max(a.Within, time.Duration(minAimShare*float64(a.Aim)))
-	return wait, wait <= time.Duration(maxLeftShare*float64(a.Left))
+	wait = max(a.Within, time.Duration(minAimShare*float64(a.TargetLatency)))
+	return wait, wait <= time.Duration(maxLeftShare*float64(a.Remaining))
 }
 
-// Times estimates the answer times of services whose requests carry no estimate of their work.
+// AnswerTimes estimates the answer times of services whose requests carry no estimate of their work.
 // It is safe for concurrent use.
-type Times struct {
+type AnswerTimes struct {
 	mu       sync.Mutex
 	services map[string]*latencyEstimator
 }
 
-// NewTimes returns an estimator without samples.
-func NewTimes() *Times { return &Times{services: make(map[string]*latencyEstimator)} }
+// NewAnswerTimes returns an estimator without samples.
+func NewAnswerTimes() *AnswerTimes { return &AnswerTimes{services: make(map[string]*latencyEstimator)} }
 
-// Learn adds the time of one answer. Waits without an answer must not be added: they would
+// Add adds the time of one answer. Waits without an answer must not be added: they would
 // lengthen the estimate each time.
-func (t *Times) Learn(service string, took time.Duration) {
+func (t *AnswerTimes) Add(service string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.services[service]
@@ -65,7 +65,7 @@
 }
 
 // Within returns a time within which nearly all answers of a service arrive; 0 if unknown.
-func (t *Times) Within(service string) time.Duration {
+func (t *AnswerTimes) Within(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.services[service]
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestFor(t *testing.T) {
-	base := Attempt{Within: 100 * time.Millisecond, Aim: 1500 * time.Millisecond, Left: 15 * time.Second, AttemptsLeft: 1}
+	base := Attempt{Within: 100 * time.Millisecond, TargetLatency: 1500 * time.Millisecond, Remaining: 15 * time.Second, AttemptsLeft: 1}
 	with := func(f func(*Attempt)) Attempt {
 		a := base
 		f(&a)
@@ -27,10 +27,10 @@
 		"long prompt":         {with(func(a *Attempt) { a.Within = 2 * time.Second }), 2 * time.Second, true},
 		"no attempt left":     {with(func(a *Attempt) { a.AttemptsLeft = 0 }), 0, false},
 		"unknown time":        {with(func(a *Attempt) { a.Within = 0 }), 0, false},
-		"no aim":              {with(func(a *Attempt) { a.Aim = 0 }), 0, false},
-		"no time for another": {with(func(a *Attempt) { a.Left = time.Second }), 600 * time.Millisecond, false},
+		"no aim":              {with(func(a *Attempt) { a.TargetLatency = 0 }), 0, false},
+		"no time for another": {with(func(a *Attempt) { a.Remaining = time.Second }), 600 * time.Millisecond, false},
 	} {
-		wait, ok := For(c.a)
+		wait, ok := Timeout(c.a)
 		require.Equal(t, c.ok, ok, name)
 		if ok {
 			require.Equal(t, c.wait, wait, name)
@@ -39,14 +39,14 @@
 }
 
 func TestTimesLearn(t *testing.T) {
-	times := NewTimes()
+	times := NewAnswerTimes()
 	require.Zero(t, times.Within("s"))
 	for range 50 {
-		times.Learn("s", 60*time.Millisecond)
+		times.Add("s", 60*time.Millisecond)
 	}
 	require.InDelta(t, 0.06, times.Within("s").Seconds(), 0.001)
 	for range 20 {
-		times.Learn("s", 600*time.Millisecond)
+		times.Add("s", 600*time.Millisecond)
 	}
 	require.Greater(t, times.Within("s"), 600*time.Millisecond, "an overload")
 	require.Zero(t, times.Within("other"))
@@ -63,7 +63,7 @@
 		limit   = 1500 * time.Millisecond
 	)
 	r := rand.New(rand.NewPCG(5, 1))
-	times := NewTimes()
+	times := NewAnswerTimes()
 	start := time.Unix(1e9, 0)
 	moves := retry.NewWindow(10*time.Second, 0.25, 3)
 	type try struct {
@@ -80,7 +80,7 @@
 	for len(tries) > 0 {
 		t := tries[0]
 		tries = tries[1:]
-		moves.First(t.at)
+		moves.RecordFirst(t.at)
 		server := (t.n + 3*t.try) % servers
 		begin := t.at
 		if free[server].After(begin) {
@@ -88,8 +88,8 @@
 		}
 		end := begin.Add(time.Duration((0.5 + r.Float64()) * float64(work)))
 		gone := r.Float64() < lost
-		wait, ok := For(Attempt{Within: times.Within("s"), Aim: aim, Left: limit - t.at.Sub(t.came), AttemptsLeft: 1 - t.try})
-		if !waits && ok && (gone || end.Sub(t.at) > wait) && moves.Again(t.at.Add(wait), 1) {
+		wait, ok := Timeout(Attempt{Within: times.Within("s"), TargetLatency: aim, Remaining: limit - t.at.Sub(t.came), AttemptsLeft: 1 - t.try})
+		if !waits && ok && (gone || end.Sub(t.at) > wait) && moves.TakeExtra(t.at.Add(wait), 1) {
 			if begin.Before(t.at.Add(wait)) {
 				free[server] = end // The server had started the request before the caller gave up.
 			}
@@ -102,7 +102,7 @@
 		if gone {
 			continue
 		}
-		times.Learn("s", end.Sub(t.at))
+		times.Add("s", end.Sub(t.at))
 		if took := end.Sub(t.came); took <= limit {
 			served++
 			if took <= aim {
--- a/policy/picker/endpoint.go
+++ b/policy/picker/endpoint.go
@@ -46,8 +46,8 @@
 	Down bool
 }
 
-// Report is a load report of an endpoint. It is out of date by the time it is used.
-type Report struct {
+// LoadReport is a load report of an endpoint. It is out of date by the time it is used.
+type LoadReport struct {
 	// InFlight is the number of requests of all VMs that run or are queued there.
 	InFlight int
 	// At is the time of the report by this VM's clock: its arrival minus half the
@@ -60,7 +60,7 @@
 type Endpoint struct {
 	Spec
 	State  State
-	Report Report
+	Report LoadReport
 	// Suspects is the number of requests in flight on the endpoint that were in flight at
 	// an earlier crash.
 	Suspects int
--- a/policy/picker/example_test.go
+++ b/policy/picker/example_test.go
@@ -13,7 +13,7 @@
 func Example() {
 	now, rng := time.Unix(0, 0), rand.New(rand.NewPCG(1, 0))
 	t := picker.NewTable(picker.DefaultConfig(picker.WeightsCost))
-	t.Set([]picker.Spec{
+	t.SetEndpoints([]picker.Spec{
 		{Name: "a", Pools: []string{"ierburi-2"}, Bounds: limit.Bounds{Slots: 4, Cold: 1}},
 		{Name: "b", Pools: []string{"ierburi-2"}, Bounds: limit.Bounds{Slots: 1, Cold: 1}},
 	})
@@ -25,7 +25,7 @@
 	_, miss := t.Pick(now, rng, r)
 	fmt.Println(miss)
 
-	t.Done(now.Add(time.Second), e, r, limit.Sample{Latency: time.Second, Size: 1})
+	t.Release(now.Add(time.Second), e, r, limit.Sample{Latency: time.Second, Size: 1})
 	e, _ = t.Pick(now, rng, r)
 	fmt.Println(e.Name)
 	// Output:
--- a/policy/picker/memory_test.go
+++ b/policy/picker/memory_test.go
@@ -17,7 +17,7 @@
 					before := heap()
 					tab := newTable(specs)
 					for h := range uint64(prefixes) {
-						tab.Event(specs[int(h)%n].Name, Event{Sequence: h/uint64(n) + 1, Stored: []uint64{h}})
+						tab.ApplyCacheEvent(specs[int(h)%n].Name, CacheEvent{Sequence: h/uint64(n) + 1, Stored: []uint64{h}})
 					}
 					b.ReportMetric(float64(heap()-before), "heap-B")
 					runtime.KeepAlive(tab)
--- a/policy/picker/picker_test.go
+++ b/policy/picker/picker_test.go
@@ -34,7 +34,7 @@
 
 func newTable(specs []Spec) *Table {
 	t := NewTable(DefaultConfig(WeightsCost))
-	t.Set(specs)
+	t.SetEndpoints(specs)
 	return t
 }
 
@@ -70,12 +70,12 @@
 				tab.Update(name, func(to *State) { *to = s })
 			case 1:
 				if len(picked) > 0 {
-					tab.Done(start, picked[0], r, limit.Sample{Failed: true})
+					tab.Release(start, picked[0], r, limit.Sample{Failed: true})
 					running[picked[0].Name]--
 					picked = picked[1:]
 				}
 			case 2:
-				tab.Set(specs)
+				tab.SetEndpoints(specs)
 			default:
 				r.Pool = fmt.Sprint("v", rapid.IntRange(0, 2).Draw(t, "version"))
 				r.Exclude = []string{name}
@@ -122,12 +122,12 @@
 		e, miss := tab.Pick(now, rng, r)
 		require.Equal(t, Picked, miss)
 		now = now.Add(latency)
-		tab.Done(now, e, r, limit.Sample{Latency: latency, Size: 1})
+		tab.Release(now, e, r, limit.Sample{Latency: latency, Size: 1})
 		now = now.Add(time.Minute)
 		latency = 8 * time.Second
 	}
 	e, _ := tab.Pick(now, rng, r)
-	tab.Done(now, e, r, limit.Sample{Latency: latency, Size: 1})
+	tab.Release(now, e, r, limit.Sample{Latency: latency, Size: 1})
 	_, miss := tab.Pick(now, rng, r)
 	require.Equal(t, MissFull, miss)
 	limit, _ := tab.Capacity("v0")
@@ -146,7 +146,7 @@
 	require.NotEqual(t, a.Name, b.Name)
 	_, miss := tab.Pick(start, rng, r)
 	require.Equal(t, MissFiltered, miss)
-	tab.Done(start, a, r, limit.Sample{})
+	tab.Release(start, a, r, limit.Sample{})
 	c, _ := tab.Pick(start, rng, r)
 	require.Equal(t, a.Name, c.Name)
 }
@@ -168,10 +168,10 @@
 	cfg.Scorers = []Weighted{{reportOnly{}, 1}}
 	for vm := range 7 {
 		tab := NewTable(cfg)
-		tab.Set(singleVersionFleet(12, 8))
+		tab.SetEndpoints(singleVersionFleet(12, 8))
 		rng := rand.New(rand.NewPCG(seed, uint64(vm)))
 		for i, s := range singleVersionFleet(12, 8) {
-			tab.Report(s.Name, Report{InFlight: 8 * min(i, 1), At: start})
+			tab.ApplyLoadReport(s.Name, LoadReport{InFlight: 8 * min(i, 1), At: start})
 		}
 		for range 12 {
 			e, _ := tab.Pick(start.Add(2*time.Second), rng, &Request{Pool: "v0"})
@@ -186,8 +186,8 @@
 // VM's own requests, whose number is exact.
 func TestReportWeightDecays(t *testing.T) {
 	idle, busy := newTable(singleVersionFleet(1, 8)).endpoints["e0000"], newTable(singleVersionFleet(1, 8)).endpoints["e0000"]
-	idle.Report = Report{InFlight: 0, At: start}
-	busy.Report = Report{InFlight: 8, At: start}
+	idle.Report = LoadReport{InFlight: 0, At: start}
+	busy.Report = LoadReport{InFlight: 8, At: start}
 	for range 2 {
 		idle.limit.Acquire()
 	}
@@ -204,23 +204,23 @@
 	const prefix = 42
 	cases := []struct {
 		name   string
-		events []Event
+		events []CacheEvent
 		cold   bool
 		want   float64 // confidence that e0000 holds it
 	}{
-		{"stored", []Event{{Sequence: 1, Stored: []uint64{prefix}}}, false, confirmedConfidence},
-		{"a later event was lost", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 4}}, false, doubtedConfidence},
-		{"an old event is repeated", []Event{{Sequence: 2, Stored: []uint64{prefix}}, {Sequence: 1, Removed: []uint64{prefix}}}, false, confirmedConfidence},
-		{"removed", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Removed: []uint64{prefix}}}, false, 0},
-		{"cleared", []Event{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Cleared: true}}, false, 0},
-		{"back in cold start", []Event{{Sequence: 1, Stored: []uint64{prefix}}}, true, 0},
-		{"stored after a restart", []Event{{Sequence: 9, Cleared: true}, {Sequence: 10, Stored: []uint64{prefix}}}, false, confirmedConfidence},
+		{"stored", []CacheEvent{{Sequence: 1, Stored: []uint64{prefix}}}, false, confirmedConfidence},
+		{"a later event was lost", []CacheEvent{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 4}}, false, doubtedConfidence},
+		{"an old event is repeated", []CacheEvent{{Sequence: 2, Stored: []uint64{prefix}}, {Sequence: 1, Removed: []uint64{prefix}}}, false, confirmedConfidence},
+		{"removed", []CacheEvent{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Removed: []uint64{prefix}}}, false, 0},
+		{"cleared", []CacheEvent{{Sequence: 1, Stored: []uint64{prefix}}, {Sequence: 2, Cleared: true}}, false, 0},
+		{"back in cold start", []CacheEvent{{Sequence: 1, Stored: []uint64{prefix}}}, true, 0},
+		{"stored after a restart", []CacheEvent{{Sequence: 9, Cleared: true}, {Sequence: 10, Stored: []uint64{prefix}}}, false, confirmedConfidence},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tab := newTable(singleVersionFleet(4, 8))
 			for _, ev := range c.events {
-				tab.Event("e0000", ev)
+				tab.ApplyCacheEvent("e0000", ev)
 			}
 			if c.cold {
 				tab.SetCold("e0000", true)
@@ -257,7 +257,7 @@
 		r := &Request{Pool: "v3", Prefix: []uint64{1, 2, 3, 4}, Exclude: []string{"e0003"}}
 		return testing.AllocsPerRun(1000, func() {
 			e, _ := tab.Pick(start, rng, r)
-			tab.Done(start, e, r, limit.Sample{Latency: time.Second, Size: 1})
+			tab.Release(start, e, r, limit.Sample{Latency: time.Second, Size: 1})
 		})
 	}
 	require.LessOrEqual(t, perPick(2000), perPick(100))
@@ -271,7 +271,7 @@
 				specs := fleet(n, 19, 4)
 				tab, rng := newTable(specs), newRand()
 				for i, s := range specs {
-					tab.Report(s.Name, Report{InFlight: i % 5, At: start})
+					tab.ApplyLoadReport(s.Name, LoadReport{InFlight: i % 5, At: start})
 					if i%100 < full {
 						tab.Update(s.Name, func(st *State) { st.Down = true })
 					}
@@ -286,7 +286,7 @@
 					r := &requests[i%len(requests)]
 					i++
 					if e, _ := tab.Pick(start, rng, r); e != nil {
-						tab.Done(start, e, r, limit.Sample{Latency: time.Second, Size: 1})
+						tab.Release(start, e, r, limit.Sample{Latency: time.Second, Size: 1})
 					}
 				}
 			})
@@ -302,7 +302,7 @@
 			tab := newTable(specs)
 			b.ReportAllocs()
 			for b.Loop() {
-				tab.Set(specs)
+				tab.SetEndpoints(specs)
 			}
 		})
 	}
--- a/policy/picker/prefix.go
+++ b/policy/picker/prefix.go
@@ -19,8 +19,8 @@
 	ringConfidence      = 0.3 // from the ring, by which other VMs send the prefix to the same endpoint
 )
 
-// Event is a cache event of an endpoint. Events may be late, and some may be lost.
-type Event struct {
+// CacheEvent is a cache event of an endpoint. Events may be late, and some may be lost.
+type CacheEvent struct {
 	// Sequence numbers the events of an endpoint. A gap shows that some were lost.
 	Sequence uint64
 	// Stored and Removed hold hashes of prefix blocks.
@@ -72,7 +72,7 @@
 
 // applyEvent applies a cache event. A gap in the sequence reduces the confidence of older
 // entries but keeps them, since most lost events concern other prefixes.
-func (x *prefixIndex) applyEvent(e *Endpoint, ev Event) {
+func (x *prefixIndex) applyEvent(e *Endpoint, ev CacheEvent) {
 	s := x.stream(e)
 	if ev.Sequence <= s.sequence && !ev.Cleared {
 		return
--- a/policy/picker/table.go
+++ b/policy/picker/table.go
@@ -32,22 +32,22 @@
 	}
 }
 
-// Miss is the reason why no endpoint was picked.
-type Miss string
+// NoChoiceReason is the reason why no endpoint was picked.
+type NoChoiceReason string
 
 // The reasons for which nothing is picked.
 const (
 	// Picked means that an endpoint was picked.
-	Picked Miss = ""
+	Picked NoChoiceReason = ""
 	// MissUnknown means that no endpoint serves the version.
-	MissUnknown Miss = "unknown"
+	MissUnknown NoChoiceReason = "unknown"
 	// MissDown means that endpoints serve the version but none accepts work.
-	MissDown Miss = "down"
+	MissDown NoChoiceReason = "down"
 	// MissFull means that all endpoints that accept work are full.
-	MissFull Miss = "full"
+	MissFull NoChoiceReason = "full"
 	// MissFiltered means that the request filters excluded all endpoints with free
 	// capacity.
-	MissFiltered Miss = "filtered"
+	MissFiltered NoChoiceReason = "filtered"
 )
 
 // Table holds the endpoints as one VM sees them. It is safe for concurrent use.
@@ -71,9 +71,9 @@
 	}
 }
 
-// Set replaces the endpoints of the table. Endpoints that stay keep their limit, state
+// SetEndpoints replaces the endpoints of the table. Endpoints that stay keep their limit, state
 // and load. Requests that run on removed endpoints may still be released.
-func (t *Table) Set(specs []Spec) {
+func (t *Table) SetEndpoints(specs []Spec) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// Sorting lets pools with the same endpoints be recognised as unchanged, and makes a
@@ -167,8 +167,8 @@
 	})
 }
 
-// Report applies a load report unless a newer one is known.
-func (t *Table) Report(name string, r Report) {
+// ApplyLoadReport applies a load report unless a newer one is known.
+func (t *Table) ApplyLoadReport(name string, r LoadReport) {
 	t.updateEndpoint(name, func(e *Endpoint) {
 		if r.At.After(e.Report.At) {
 			e.Report = r
@@ -177,8 +177,8 @@
 	})
 }
 
-// Event applies a cache event of an endpoint.
-func (t *Table) Event(name string, ev Event) {
+// ApplyCacheEvent applies a cache event of an endpoint.
+func (t *Table) ApplyCacheEvent(name string, ev CacheEvent) {
 	t.updateEndpoint(name, func(e *Endpoint) { t.prefixes.applyEvent(e, ev) })
 }
 
@@ -206,9 +206,9 @@
 	return p.capacity, p.inFlight
 }
 
-// Pick chooses an endpoint and takes one of its slots, which Done returns. Without an
+// Pick chooses an endpoint and takes one of its slots, which Release returns. Without an
 // endpoint it returns the reason.
-func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (*Endpoint, Miss) {
+func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (*Endpoint, NoChoiceReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[r.Pool]
@@ -255,9 +255,9 @@
 	return best
 }
 
-// Done returns the slot of a request and passes the sample of its answer to the
+// Release returns the slot of a request and passes the sample of its answer to the
 // endpoint's limit.
-func (t *Table) Done(now time.Time, e *Endpoint, r *Request, s limit.Sample) {
+func (t *Table) Release(now time.Time, e *Endpoint, r *Request, s limit.Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e.limit.Release(now, s)
@@ -270,8 +270,8 @@
 	}
 }
 
-// Cached records that an answer reported the first `hit` blocks of r.Prefix as cached.
-func (t *Table) Cached(e *Endpoint, r *Request, hit int) {
+// RecordCached records that an answer reported the first `hit` blocks of r.Prefix as cached.
+func (t *Table) RecordCached(e *Endpoint, r *Request, hit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, h := range r.Prefix {
@@ -298,7 +298,7 @@
 }
 
 // missReason returns the reason why no endpoint of the pool was picked.
-func (p *pool) missReason() Miss {
+func (p *pool) missReason() NoChoiceReason {
 	for _, set := range p.open {
 		if len(set) > 0 {
 			return MissFiltered
--- a/policy/placement/choose.go
+++ b/policy/placement/choose.go
@@ -120,7 +120,7 @@
 	if affinity == "" {
 		return out
 	}
-	key := rendezvous.Mark(affinity)
+	key := rendezvous.HashOf(affinity)
 	var top [affinityReplicas]uint64
 	for _, e := range list {
 		w := key.Weight(e.idHash)
--- a/policy/placement/endpoint.go
+++ b/policy/placement/endpoint.go
@@ -49,7 +49,7 @@
 	// not added: it is known only for endpoints that answered recently, so that the others
 	// would look idle.
 	load           float64
-	peerLoad       Share // load from the other VMs, as of Table.peerLoadAt
+	peerLoad       EndpointLoad // load from the other VMs, as of Table.peerLoadAt
 	requests       int
 	record         record  // attempts of this VM
 	fleetRecord    Record  // attempts of all VMs, as of Table.recordsAt
--- a/policy/placement/fleet_test.go
+++ b/policy/placement/fleet_test.go
@@ -36,7 +36,7 @@
 			if j.end.After(now) {
 				return false
 			}
-			tables[j.vm].Began(j.end, j.c)
+			tables[j.vm].PromptRead(j.end, j.c)
 			tables[j.vm].Done(now, j.c, Good)
 			return true
 		})
@@ -47,11 +47,11 @@
 				if o == vm {
 					continue
 				}
-				for id, w := range t.Own(now) {
+				for id, w := range t.LocalLoad(now) {
 					sum[id] += w.Work
 				}
 			}
-			setPeerLoad(tables[vm], now, func(id string) Share { return Share{Work: sum[id]} })
+			setPeerLoad(tables[vm], now, func(id string) EndpointLoad { return EndpointLoad{Work: sum[id]} })
 		}
 		// Sizes are log-normal with a mean of 8 thousand tokens; reading takes 9 ms per thousand.
 		tokens := 3 * math.Exp(1.4*r.NormFloat64())
@@ -89,7 +89,7 @@
 // busy seconds ago.
 func TestStalePeerLoadIsIgnored(t *testing.T) {
 	tb, r := table(2), rng()
-	setPeerLoad(tb, start, func(id string) Share { return map[string]Share{"e00": {Work: 50}}[id] })
+	setPeerLoad(tb, start, func(id string) EndpointLoad { return map[string]EndpointLoad{"e00": {Work: 50}}[id] })
 	for range 20 {
 		c, _ := tb.Pick(start, r, &Request{Service: "s", Work: 1})
 		require.Equal(t, "e01", c.ID)
@@ -108,12 +108,12 @@
 func TestWorkFallsWhenThePromptIsRead(t *testing.T) {
 	tb := table(1)
 	c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1, Prefill: 12})
-	require.Equal(t, map[string]Share{"e00": {Work: 13}}, tb.Own(start))
-	tb.Began(start, c)
-	require.Equal(t, map[string]Share{"e00": {Work: 1}}, tb.Own(start))
-	tb.Began(start, c)
+	require.Equal(t, map[string]EndpointLoad{"e00": {Work: 13}}, tb.LocalLoad(start))
+	tb.PromptRead(start, c)
+	require.Equal(t, map[string]EndpointLoad{"e00": {Work: 1}}, tb.LocalLoad(start))
+	tb.PromptRead(start, c)
 	tb.Done(start, c, Good)
-	require.Empty(t, tb.Own(start))
+	require.Empty(t, tb.LocalLoad(start))
 }
 
 // Guards against requests refused after several dials: half of sixty engines crash and refuse
@@ -133,13 +133,13 @@
 			if shared {
 				avoiding := map[string]int{}
 				for _, o := range tables {
-					for id, s := range o.Own(now) {
+					for id, s := range o.LocalLoad(now) {
 						if s.Avoided && o != vm {
 							avoiding[id]++
 						}
 					}
 				}
-				setPeerLoad(vm, now, func(id string) Share { return Share{Avoided: avoiding[id] >= 2} })
+				setPeerLoad(vm, now, func(id string) EndpointLoad { return EndpointLoad{Avoided: avoiding[id] >= 2} })
 			}
 			req := &Request{Service: "s", Work: 1}
 			for {
--- a/policy/placement/pace.go
+++ b/policy/placement/pace.go
@@ -40,22 +40,22 @@
 	u.perUnit = average + unitTimeGain*(measured-average)
 }
 
-// Outlook is an estimate of the time that a request waits for its first event.
-type Outlook struct {
+// WaitEstimate is an estimate of the time that a request waits for its first event.
+type WaitEstimate struct {
 	// Wait is the time for the work ahead of the request, Read the time for reading its own
 	// prompt.
 	Wait, Read time.Duration
 }
 
-// Outlook estimates the time to a request's first event at the usable endpoint with the least
+// EstimateWait estimates the time to a request's first event at the usable endpoint with the least
 // work under way, by the recent time per unit of work in the service. The share of an engine's
 // slots in use is a poor predictor: long prompts make requests wait while most slots are free.
-func (t *Table) Outlook(now time.Time, rng *rand.Rand, r *Request) Outlook {
+func (t *Table) EstimateWait(now time.Time, rng *rand.Rand, r *Request) WaitEstimate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.services[r.Service]
 	if p == nil {
-		return Outlook{}
+		return WaitEstimate{}
 	}
 	warm, cold, _ := t.candidates(now, rng, p, r)
 	if len(warm) == 0 {
@@ -68,5 +68,5 @@
 		}
 	}
 	unit := p.unitTime.get() * float64(time.Second)
-	return Outlook{Wait: time.Duration(max(least, 0) * unit), Read: time.Duration((r.Work + r.Prefill) * unit)}
+	return WaitEstimate{Wait: time.Duration(max(least, 0) * unit), Read: time.Duration((r.Work + r.Prefill) * unit)}
 }
--- a/policy/placement/pace_test.go
+++ b/policy/placement/pace_test.go
@@ -15,7 +15,7 @@
 		c, miss := tb.Pick(now, rng(), &Request{Service: "s", Work: 1, Prefill: 39})
 		require.Equal(t, Picked, miss)
 		now = now.Add(40 * perUnit)
-		tb.Began(now, c)
+		tb.PromptRead(now, c)
 		tb.Done(now, c, Good)
 	}
 }
@@ -28,18 +28,18 @@
 		tb := table(3)
 		ask := &Request{Service: "s", Work: 1, Prefill: 99}
 		serveRequests(t, tb, 300, perUnit)
-		require.InEpsilon(t, 100*perUnit, tb.Outlook(start, rng(), ask).Read, 0.05)
-		require.Zero(t, tb.Outlook(start, rng(), ask).Wait)
+		require.InEpsilon(t, 100*perUnit, tb.EstimateWait(start, rng(), ask).Read, 0.05)
+		require.Zero(t, tb.EstimateWait(start, rng(), ask).Wait)
 
 		c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1, Prefill: 39})
-		tb.Began(start.Add(time.Minute), c)
+		tb.PromptRead(start.Add(time.Minute), c)
 		tb.Done(start, c, Good)
 		for range 100 {
 			c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1})
-			tb.Began(start.Add(200*time.Millisecond), c)
+			tb.PromptRead(start.Add(200*time.Millisecond), c)
 			tb.Done(start, c, Good)
 		}
-		require.InEpsilon(t, 100*perUnit, tb.Outlook(start, rng(), ask).Read, 0.15)
+		require.InEpsilon(t, 100*perUnit, tb.EstimateWait(start, rng(), ask).Read, 0.15)
 	}
 }
 
@@ -47,12 +47,12 @@
 // others.
 func TestOutlookIsThatOfTheBestEndpoint(t *testing.T) {
 	tb := table(3)
-	setPeerLoad(tb, start, func(id string) Share {
-		return map[string]Share{"e00": {Work: 50}, "e01": {Work: 20}, "e02": {Work: 0}}[id]
+	setPeerLoad(tb, start, func(id string) EndpointLoad {
+		return map[string]EndpointLoad{"e00": {Work: 50}, "e01": {Work: 20}, "e02": {Work: 0}}[id]
 	})
 	ask := &Request{Service: "s", Work: 1}
-	require.Zero(t, tb.Outlook(start, rng(), ask).Wait)
+	require.Zero(t, tb.EstimateWait(start, rng(), ask).Wait)
 	tb.Set(start, Spec{ID: "e02", Service: "s", Address: "e02", DataCentre: "a", Slots: 8, Draining: true})
-	require.Equal(t, 20*defaultUnitTime, tb.Outlook(start, rng(), ask).Wait)
-	require.Equal(t, Outlook{}, tb.Outlook(start, rng(), &Request{Service: "unknown"}))
+	require.Equal(t, 20*defaultUnitTime, tb.EstimateWait(start, rng(), ask).Wait)
+	require.Equal(t, WaitEstimate{}, tb.EstimateWait(start, rng(), &Request{Service: "unknown"}))
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -22,14 +22,14 @@
 }
 
 // setPeerLoad sets the load from the other VMs at each endpoint of a table.
-func setPeerLoad(t *Table, now time.Time, of func(id string) Share) {
-	shares := make(map[uint32]Share)
+func setPeerLoad(t *Table, now time.Time, of func(id string) EndpointLoad) {
+	shares := make(map[uint32]EndpointLoad)
 	for id := range t.endpoints {
-		if s := of(id); s != (Share{}) {
-			shares[rendezvous.Mark(id).Short()] = s
+		if s := of(id); s != (EndpointLoad{}) {
+			shares[rendezvous.HashOf(id).Short()] = s
 		}
 	}
-	t.SetElsewhere(now, shares)
+	t.SetPeerLoad(now, shares)
 }
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -43,7 +43,7 @@
 		tb.Set(start, Spec{ID: fmt.Sprintf("e%02d", i), Service: "s", Address: address, DataCentre: "a", Version: "v1", Slots: 8})
 	}
 	tb.SetLost("a0", true)
-	require.Equal(t, map[string]Share{"e00": {Avoided: true}}, tb.Own(start))
+	require.Equal(t, map[string]EndpointLoad{"e00": {Avoided: true}}, tb.LocalLoad(start))
 	for range 20 {
 		c, _ := tb.Pick(start, r, &Request{Service: "s", Work: 1})
 		require.Equal(t, "e01", c.ID)
@@ -265,11 +265,11 @@
 	}
 	require.LessOrEqual(t, len(used), affinityReplicas, "both VMs keep the prefix on the same engines")
 
-	setPeerLoad(a, start, func(id string) Share {
+	setPeerLoad(a, start, func(id string) EndpointLoad {
 		if id < "e2900" {
-			return Share{Work: 50}
+			return EndpointLoad{Work: 50}
 		}
-		return Share{}
+		return EndpointLoad{}
 	})
 	idle := 0
 	for range 200 {
@@ -284,5 +284,5 @@
 	c, miss := a.Pick(start, r, &Request{Service: "s", Work: 1, Version: "v2"})
 	require.Equal(t, Picked, miss)
 	require.Equal(t, "only", c.ID)
-	require.Len(t, a.Own(start), 201, "only endpoints with work under way are reported")
+	require.Len(t, a.LocalLoad(start), 201, "only endpoints with work under way are reported")
 }
--- a/policy/placement/record_test.go
+++ b/policy/placement/record_test.go
@@ -128,7 +128,7 @@
 		c, _ := tb.Pick(start, r, &Request{Service: "s", Work: 1, Exclude: []string{"e01"}})
 		under = append(under, c)
 	}
-	for i, o := range []Outcome{Broken, Good, Gone} {
+	for i, o := range []Outcome{Broken, Good, OtherIncarnation} {
 		tb.Done(start, under[i], o)
 	}
 	for range 20 {
@@ -183,7 +183,7 @@
 func TestOtherLifeIsTold(t *testing.T) {
 	tb := table(2)
 	c, _ := tb.Pick(start, rng(), &Request{Service: "s", Work: 1, Exclude: []string{"e01"}})
-	tb.Done(start, c, Gone)
+	tb.Done(start, c, OtherIncarnation)
 	require.Equal(t, map[string]Record{"e00": {OtherLife: true}}, tb.Records(start))
 	require.Empty(t, tb.Records(start.Add(otherLifeAvoidance)))
 	other := table(2)
