--- a/policy/placement/table.go
+++ b/policy/placement/table.go
@@ -56,13 +56,13 @@
 	sentAt time.Time
 }
 
-// Miss is the reason why no endpoint was chosen.
-type Miss int
+// NoChoiceReason is the reason why no endpoint was chosen.
+type NoChoiceReason int
 
-// Values of Miss.
+// Values of NoChoiceReason.
 const (
 	// Picked: an endpoint was chosen.
-	Picked Miss = iota
+	Picked NoChoiceReason = iota
 	// NoEndpoint: no endpoint may serve the request.
 	NoEndpoint
 	// AllCold: the eligible endpoints are in cold start and have no request budget left.
@@ -76,20 +76,20 @@
 
 // Values of Outcome.
 const (
-	// Neutral says nothing about the endpoint, for example when the caller left.
-	Neutral Outcome = iota
+	// NoSignal says nothing about the endpoint, for example when the caller left.
+	NoSignal Outcome = iota
 	// Good: the endpoint answered correctly.
 	Good
 	// Failed: the endpoint answered with a failure.
 	Failed
-	// Full: the endpoint refused the request for lack of capacity.
-	Full
+	// AtCapacity: the endpoint refused the request for lack of capacity.
+	AtCapacity
 	// Unreached: no connection could be made.
 	Unreached
 	// Broken: the connection broke.
 	Broken
-	// Gone: another incarnation answered at the endpoint's address.
-	Gone
+	// OtherIncarnation: another incarnation answered at the endpoint's address.
+	OtherIncarnation
 )
 
 // Table holds the endpoints of all services with their load and health. It is safe for
@@ -137,7 +137,7 @@
 		e = nil
 	}
 	if e == nil {
-		e = &endpoint{Spec: s, idHash: rendezvous.Mark(s.ID)}
+		e = &endpoint{Spec: s, idHash: rendezvous.HashOf(s.ID)}
 		t.endpoints[s.ID] = e
 		t.byShortName[e.idHash.Short()] = e
 		p := t.services[s.Service]
@@ -190,7 +190,7 @@
 		for i, e := range p.list {
 			names[i] = e.ID
 		}
-		p.detector.Set(names)
+		p.detector.SetEndpoints(names)
 		p.detectorStale = false
 	}
 	return p.detector
@@ -220,14 +220,14 @@
 }
 
 // Pick chooses an endpoint and adds the request's load to it.
-func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (Choice, Miss) {
+func (t *Table) Pick(now time.Time, rng *rand.Rand, r *Request) (Choice, NoChoiceReason) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.services[r.Service]
 	if p == nil {
 		return Choice{}, NoEndpoint
 	}
-	for _, c := range p.currentDetector().Due(now) {
+	for _, c := range p.currentDetector().StartProbations(now) {
 		t.endpoints[c.Endpoint].outlierState = c.State
 	}
 	warm, cold, tried := t.candidates(now, rng, p, r)
@@ -264,8 +264,8 @@
 	return slices.ContainsFunc(p.list, func(e *endpoint) bool { return e.cold(now) })
 }
 
-// Began moves the request from reading its prompt to generating, at its first event.
-func (t *Table) Began(now time.Time, c Choice) {
+// PromptRead moves the request from reading its prompt to generating, at its first event.
+func (t *Table) PromptRead(now time.Time, c Choice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.endpoints[c.ID]; e != nil {
@@ -275,22 +275,22 @@
 	*c.work = c.workAfterPrompt
 }
 
-// Share is what VMs tell each other about an endpoint.
-type Share struct {
+// EndpointLoad is what VMs tell each other about an endpoint.
+type EndpointLoad struct {
 	// Work is the VM's work under way there.
 	Work float64
 	// Avoided says that the endpoint is lost or recently broke or refused connections.
 	Avoided bool
 }
 
-// Own returns this VM's shares, by endpoint ID.
-func (t *Table) Own(now time.Time) map[string]Share {
+// LocalLoad returns this VM's shares, by endpoint ID.
+func (t *Table) LocalLoad(now time.Time) map[string]EndpointLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]Share, len(t.active))
+	out := make(map[string]EndpointLoad, len(t.active))
 	for e := range t.active {
 		if avoided := e.lost || now.Before(e.avoidUntil); avoided || e.load > 0 {
-			out[e.ID] = Share{Work: e.load, Avoided: avoided}
+			out[e.ID] = EndpointLoad{Work: e.load, Avoided: avoided}
 		} else if e.requests == 0 && !e.record.reportable(now) {
 			delete(t.active, e)
 		}
@@ -298,13 +298,13 @@
 	return out
 }
 
-// SetElsewhere sets the combined shares of the other VMs by the endpoints' short names
+// SetPeerLoad sets the combined shares of the other VMs by the endpoints' short names
 // (rendezvous.Hash.Short). Endpoints that are not named have none.
-func (t *Table) SetElsewhere(now time.Time, shares map[uint32]Share) {
+func (t *Table) SetPeerLoad(now time.Time, shares map[uint32]EndpointLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.withPeerLoad {
-		e.peerLoad = Share{}
+		e.peerLoad = EndpointLoad{}
 	}
 	t.withPeerLoad = t.withPeerLoad[:0]
 	for short, share := range shares {
@@ -338,19 +338,19 @@
 		e.avoid(now)
 	case Unreached:
 		e.avoid(now)
-	case Gone:
+	case OtherIncarnation:
 		e.record.otherLifeUntil = now.Add(otherLifeAvoidance)
 		e.avoid(now)
 		e.avoidFor, e.avoidUntil = max(e.avoidFor, minAvoidance), e.record.otherLifeUntil
-	case Full:
+	case AtCapacity:
 		e.endAvoidance()
-	case Neutral:
+	case NoSignal:
 		e.probing = false
 	}
 }
 
-// Cold marks an endpoint as cold for a time, for example when it reports so in an answer.
-func (t *Table) Cold(now time.Time, id string, left time.Duration) {
+// MarkCold marks an endpoint as cold for a time, for example when it reports so in an answer.
+func (t *Table) MarkCold(now time.Time, id string, left time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.endpoints[id]; e != nil && now.Add(left).After(e.coldUntil) {
--- a/policy/poison/bench_test.go
+++ b/policy/poison/bench_test.go
@@ -12,13 +12,13 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			t, next := New(9), Fingerprint(0)
 			for range records / 16 {
-				t.Crashed(start, "e0", newFingerprints(&next, 16), 0)
+				t.RecordCrash(start, "e0", newFingerprints(&next, 16), 0)
 			}
 			f := Fingerprint(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				f++
-				t.Quarantined(start, f%maxRecords)
+				t.IsQuarantined(start, f%maxRecords)
 			}
 		})
 	}
--- a/policy/poison/poison.go
+++ b/policy/poison/poison.go
@@ -63,9 +63,9 @@
 // Fingerprint identifies a request by its account, target and body.
 type Fingerprint uint64
 
-// Of returns the fingerprint of a request. account and target (a model or service)
+// NewFingerprint returns the fingerprint of a request. account and target (a model or service)
 // distinguish equal bodies of different accounts.
-func Of(account, target string, body []byte) Fingerprint {
+func NewFingerprint(account, target string, body []byte) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
 	var n [8]byte
@@ -147,9 +147,9 @@
 	}
 }
 
-// Quarantined reports whether the request is to be refused. It costs one map lookup,
+// IsQuarantined reports whether the request is to be refused. It costs one map lookup,
 // usually in an empty map.
-func (t *Tracker) Quarantined(now time.Time, f Fingerprint) bool {
+func (t *Tracker) IsQuarantined(now time.Time, f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
@@ -159,21 +159,21 @@
 	return len(r.blame) >= t.minEndpoints && r.score() >= Threshold
 }
 
-// Suspect reports whether the request was in flight at a crash and has not completed
+// IsSuspect reports whether the request was in flight at a crash and has not completed
 // since. It must not share an endpoint with another suspect.
-func (t *Tracker) Suspect(now time.Time, f Fingerprint) bool {
+func (t *Tracker) IsSuspect(now time.Time, f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
 	return r != nil && r.survived == 0 && now.Sub(r.last) <= recordLifetime
 }
 
-// Crashed distributes the blame for the crash of an endpoint over the requests that this
+// RecordCrash distributes the blame for the crash of an endpoint over the requests that this
 // VM had in flight there. Blame is kept by the name of the endpoint, so that a crash seen
 // by several VMs counts once, and so does an endpoint that crashes repeatedly for its own
 // reasons. others is the number of requests of other VMs that ran there according to the
 // endpoint's last report; they take their part of the blame.
-func (t *Tracker) Crashed(now time.Time, endpoint string, inFlight []Fingerprint, others int) {
+func (t *Tracker) RecordCrash(now time.Time, endpoint string, inFlight []Fingerprint, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prune(now)
@@ -193,10 +193,10 @@
 	t.recentCrashes = append(t.recentCrashes, crash{at: now, suspects: suspects})
 }
 
-// Survived records a complete answer. A request that an endpoint survives is either
+// RecordSuccess records a complete answer. A request that an endpoint survives is either
 // harmless or crashes only some endpoints, so its blame counts by a half, a third and so
 // on.
-func (t *Tracker) Survived(f Fingerprint) {
+func (t *Tracker) RecordSuccess(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
--- a/policy/poison/poison_test.go
+++ b/policy/poison/poison_test.go
@@ -35,17 +35,17 @@
 		t.Run(fmt.Sprintf("%d endpoints, %d beside", c.endpoints, c.beside), func(t *testing.T) {
 			tracker, next, now := New(c.endpoints), culprit, start
 			crashes := 0
-			for ; !tracker.Quarantined(now, culprit); crashes++ {
+			for ; !tracker.IsQuarantined(now, culprit); crashes++ {
 				others := newFingerprints(&next, c.beside)
-				tracker.Crashed(now, fmt.Sprint("e", crashes), append(others, culprit), 0)
+				tracker.RecordCrash(now, fmt.Sprint("e", crashes), append(others, culprit), 0)
 				now = now.Add(300 * time.Millisecond)
 				for _, f := range others {
-					require.False(t, tracker.Quarantined(now, f))
-					tracker.Survived(f)
+					require.False(t, tracker.IsQuarantined(now, f))
+					tracker.RecordSuccess(f)
 				}
 			}
 			require.LessOrEqual(t, crashes, c.most)
-			require.False(t, tracker.Quarantined(now.Add(recordLifetime+1), culprit), "a repaired engine gets the request again")
+			require.False(t, tracker.IsQuarantined(now.Add(recordLifetime+1), culprit), "a repaired engine gets the request again")
 		})
 	}
 }
@@ -70,11 +70,11 @@
 			for _, f := range running {
 				attempts[f]++
 			}
-			tracker.Crashed(now, fmt.Sprint("e", i), running, 0)
+			tracker.RecordCrash(now, fmt.Sprint("e", i), running, 0)
 			all = append(all, running[:each]...)
 		}
 		for _, f := range all {
-			require.False(t, tracker.Quarantined(start.Add(time.Second), f), "%d on each", each)
+			require.False(t, tracker.IsQuarantined(start.Add(time.Second), f), "%d on each", each)
 		}
 	}
 }
@@ -85,12 +85,12 @@
 	tracker := New(9)
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * 10 * time.Second)
-		tracker.Crashed(now, "e0", []Fingerprint{culprit}, 0)
-		require.False(t, tracker.Quarantined(now, culprit))
-		require.True(t, tracker.Suspect(now, culprit))
+		tracker.RecordCrash(now, "e0", []Fingerprint{culprit}, 0)
+		require.False(t, tracker.IsQuarantined(now, culprit))
+		require.True(t, tracker.IsSuspect(now, culprit))
 	}
 	tracker.Release(culprit)
-	require.False(t, tracker.Suspect(start, culprit))
+	require.False(t, tracker.IsSuspect(start, culprit))
 }
 
 // TestMerge checks that VMs which exchange counts in any order and repeatedly reach the
@@ -103,9 +103,9 @@
 			running := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fingerprint {
 				return Fingerprint(rapid.IntRange(1, 5).Draw(t, "f"))
 			}), 1, 4).Draw(t, "running")
-			vm.Crashed(start.Add(time.Duration(i)*time.Second), fmt.Sprint("e", i%4), running, 0)
+			vm.RecordCrash(start.Add(time.Duration(i)*time.Second), fmt.Sprint("e", i%4), running, 0)
 			if rapid.Bool().Draw(t, "survives") {
-				vm.Survived(running[0])
+				vm.RecordSuccess(running[0])
 			}
 		}
 		now := start.Add(time.Minute)
@@ -122,7 +122,7 @@
 }
 
 func TestFingerprint(t *testing.T) {
-	require.Equal(t, Of("a", "m", []byte("x")), Of("a", "m", []byte("x")))
-	require.NotEqual(t, Of("a", "m", []byte("x")), Of("b", "m", []byte("x")))
-	require.NotEqual(t, Of("ab", "m", nil), Of("a", "bm", nil))
+	require.Equal(t, NewFingerprint("a", "m", []byte("x")), NewFingerprint("a", "m", []byte("x")))
+	require.NotEqual(t, NewFingerprint("a", "m", []byte("x")), NewFingerprint("b", "m", []byte("x")))
+	require.NotEqual(t, NewFingerprint("ab", "m", nil), NewFingerprint("a", "bm", nil))
 }
--- a/policy/retry/bench_test.go
+++ b/policy/retry/bench_test.go
@@ -19,7 +19,7 @@
 			for b.Loop() {
 				a.Account = names[i%accounts]
 				i++
-				budget.First(a.Account, 1)
+				budget.RecordFirst(a.Account, 1)
 				budget.Decide(start, rng, a)
 			}
 		})
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -121,10 +121,10 @@
 	return &Budget{ratio: ratio, accounts: make(map[string]float64)}
 }
 
-// First adds to the balances for a first attempt when it is dispatched. Requests refused
+// RecordFirst adds to the balances for a first attempt when it is dispatched. Requests refused
 // before a dispatch are not counted, since they cause no work of which a share could be
 // added.
-func (b *Budget) First(account string, size float64) {
+func (b *Budget) RecordFirst(account string, size float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.mean == 0 {
@@ -157,10 +157,10 @@
 	return Decision{Again: true, After: after}
 }
 
-// HedgeAfter returns the time from the start of an attempt after which Decide is to be
+// HedgeDelay returns the time from the start of an attempt after which Decide is to be
 // asked for a hedge: twice the expected time, or earlier if a second attempt would then
 // have too little time left, but not before the expected time has passed.
-func HedgeAfter(expected, left time.Duration) time.Duration {
+func HedgeDelay(expected, left time.Duration) time.Duration {
 	after := time.Duration(hedgeFactor * float64(expected))
 	after = min(after, max(left-expected, expected))
 	return max(after, minHedgeDelay)
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -34,7 +34,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(Ratio)
-			b.First("a", 1)
+			b.RecordFirst("a", 1)
 			a := attempt()
 			c.change(&a)
 			d := b.Decide(start, rand.New(rand.NewPCG(seed, 0)), a)
@@ -56,7 +56,7 @@
 			a := attempt()
 			a.Account = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "account")
 			a.Size = rapid.Float64Range(0.1, 10).Draw(t, "size")
-			b.First(a.Account, a.Size)
+			b.RecordFirst(a.Account, a.Size)
 			if first == 0 {
 				top = initialBalance * a.Size
 			}
@@ -72,8 +72,8 @@
 }
 
 func TestHedgeAfter(t *testing.T) {
-	require.Equal(t, 2*time.Second, HedgeAfter(time.Second, time.Minute))
-	require.Equal(t, 1500*time.Millisecond, HedgeAfter(time.Second, 2500*time.Millisecond), "early enough for a second attempt")
-	require.Equal(t, time.Second, HedgeAfter(time.Second, time.Second), "not before the first attempt's expected time")
-	require.Equal(t, minHedgeDelay, HedgeAfter(time.Millisecond, time.Minute))
+	require.Equal(t, 2*time.Second, HedgeDelay(time.Second, time.Minute))
+	require.Equal(t, 1500*time.Millisecond, HedgeDelay(time.Second, 2500*time.Millisecond), "early enough for a second attempt")
+	require.Equal(t, time.Second, HedgeDelay(time.Second, time.Second), "not before the first attempt's expected time")
+	require.Equal(t, minHedgeDelay, HedgeDelay(time.Millisecond, time.Minute))
 }
--- a/policy/retry/window.go
+++ b/policy/retry/window.go
@@ -48,17 +48,17 @@
 	w.bucket = max(w.bucket, n)
 }
 
-// First counts the first attempt of a request.
-func (w *Window) First(now time.Time) {
+// RecordFirst counts the first attempt of a request.
+func (w *Window) RecordFirst(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
 	w.first[w.bucket%bucketCount]++
 }
 
-// Again counts one more attempt and reports true if the window allows it. vms is the
+// TakeExtra counts one more attempt and reports true if the window allows it. vms is the
 // number of VMs that share the slack.
-func (w *Window) Again(now time.Time, vms int) bool {
+func (w *Window) TakeExtra(now time.Time, vms int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
--- a/policy/retry/window_test.go
+++ b/policy/retry/window_test.go
@@ -27,10 +27,10 @@
 		for v, w := range windows {
 			load := (v + 1) * (1 + 3*(i/400%2))
 			for range r.IntN(load + 1) {
-				w.First(now)
+				w.RecordFirst(now)
 				k.first++
 				for range 2 {
-					if w.Again(now, vms) {
+					if w.TakeExtra(now, vms) {
 						k.extra++
 					}
 				}
@@ -55,10 +55,10 @@
 	w := NewWindow(10*time.Second, 0.5, 14)
 	now := time.Unix(100, 0)
 	n := 0
-	for w.Again(now, 7) {
+	for w.TakeExtra(now, 7) {
 		n++
 	}
 	require.Equal(t, 2, n)
-	require.False(t, w.Again(now.Add(5*time.Second), 7))
-	require.True(t, w.Again(now.Add(11*time.Second), 7))
+	require.False(t, w.TakeExtra(now.Add(5*time.Second), 7))
+	require.True(t, w.TakeExtra(now.Add(11*time.Second), 7))
 }
--- a/policy/rollout/brake.go
+++ b/policy/rollout/brake.go
@@ -38,16 +38,16 @@
 	b.epochs[rollOut] = max(b.epochs[rollOut], epoch)
 }
 
-// On reports whether the roll-out's new version is braked.
-func (b *Brakes) On(r *config.RollOut) bool {
+// IsBraked reports whether the roll-out's new version is braked.
+func (b *Brakes) IsBraked(r *config.RollOut) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	epoch, ok := b.epochs[r.Name]
 	return ok && epoch == r.Revision && UnderWay(r)
 }
 
-// Forget removes the brakes of roll-outs that are not in s.
-func (b *Brakes) Forget(s *config.Snapshot) {
+// Prune removes the brakes of roll-outs that are not in s.
+func (b *Brakes) Prune(s *config.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name := range b.epochs {
@@ -60,7 +60,7 @@
 // Choose works like the function Choose for a request without a session, but
 // returns a braked version only if the old version isn't usable.
 func (b *Brakes) Choose(r *config.RollOut, key string, usable func(version string) bool) (Choice, bool) {
-	if b.On(r) && usable(r.From) {
+	if b.IsBraked(r) && usable(r.From) {
 		return Choice{Version: r.From, Reason: ReasonBraked}, true
 	}
 	return Choose(r, key, usable)
--- a/policy/rollout/brake_test.go
+++ b/policy/rollout/brake_test.go
@@ -30,6 +30,6 @@
 	r.Revision++
 	require.Equal(t, "v2", version(all), "a change of the roll-out ends the brake")
 	b.Set("r", r.Revision)
-	b.Forget(&config.Snapshot{})
-	require.False(t, b.On(r))
+	b.Prune(&config.Snapshot{})
+	require.False(t, b.IsBraked(r))
 }
--- a/policy/rollout/choose.go
+++ b/policy/rollout/choose.go
@@ -38,11 +38,11 @@
 	ReasonUsable = "the other version is withdrawn or not allowed"
 )
 
-// Of returns the model's roll-out, or nil if it has none. If several roll-outs name
+// ForModel returns the model's roll-out, or nil if it has none. If several roll-outs name
 // the model, one that is under way takes precedence over a finished one, then the
 // higher revision, then the first name in alphabetical order, so that all VMs at
 // one revision agree.
-func Of(s *config.Snapshot, model string) *config.RollOut {
+func ForModel(s *config.Snapshot, model string) *config.RollOut {
 	var best *config.RollOut
 	for _, name := range slices.Sorted(maps.Keys(s.RollOuts)) {
 		r := s.RollOuts[name]
--- a/policy/rollout/rollout_test.go
+++ b/policy/rollout/rollout_test.go
@@ -65,10 +65,10 @@
 	a.Name, a.State, a.Revision = "a", config.RollOutDone, 9
 	b.Name, c.Name, c.Revision = "b", "c", 8
 	s := &config.Snapshot{RollOuts: map[string]*config.RollOut{"a": a, "b": b, "c": c}}
-	require.Equal(t, c, Of(s, "ierburi"))
-	require.Nil(t, Of(s, "other"))
+	require.Equal(t, c, ForModel(s, "ierburi"))
+	require.Nil(t, ForModel(s, "other"))
 	c.State = config.RollOutRolledBack
-	require.Equal(t, b, Of(s, "ierburi"))
+	require.Equal(t, b, ForModel(s, "ierburi"))
 }
 
 // tally builds a Tally from the numbers of requests, errors, slow, rated and poor
--- a/policy/silence/silence.go
+++ b/policy/silence/silence.go
@@ -14,9 +14,9 @@
 	maxMissed = 2
 	// lostProbeInterval is the time between probes of a lost endpoint.
 	lostProbeInterval = 300 * time.Millisecond
-	// AnswerWithin is the timeout of a probe. It covers many round trips between the data
+	// ProbeTimeout is the timeout of a probe. It covers many round trips between the data
 	// centres of a region, and the delay of a VM that is short of CPU time.
-	AnswerWithin = 200 * time.Millisecond
+	ProbeTimeout = 200 * time.Millisecond
 )
 
 // Verdict is the result of a probe.
@@ -56,8 +56,8 @@
 // New returns a detector without endpoints.
 func New() *Detector { return &Detector{endpoints: make(map[string]*endpoint)} }
 
-// Sent records that a request was sent to an endpoint and waits for its answer.
-func (d *Detector) Sent(now time.Time, address string) {
+// RequestSent records that a request was sent to an endpoint and waits for its answer.
+func (d *Detector) RequestSent(now time.Time, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.endpoints[address]
@@ -71,8 +71,8 @@
 	e.waiting++
 }
 
-// Heard records that bytes were received from an endpoint.
-func (d *Detector) Heard(now time.Time, address string) {
+// Received records that bytes were received from an endpoint.
+func (d *Detector) Received(now time.Time, address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.endpoints[address]; e != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Ended records that a request no longer waits.
-func (d *Detector) Ended(address string) {
+// RequestEnded records that a request no longer waits.
+func (d *Detector) RequestEnded(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.endpoints[address]
@@ -110,9 +110,9 @@
 	}
 }
 
-// Due returns the addresses to probe now. The result of each probe must be reported to the
+// DueProbes returns the addresses to probe now. The result of each probe must be reported to the
 // detector.
-func (d *Detector) Due(now time.Time) (out []string) {
+func (d *Detector) DueProbes(now time.Time) (out []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for address, e := range d.endpoints {
@@ -131,9 +131,9 @@
 	return out
 }
 
-// Asked records the result of a probe that started at began. late says that this VM itself was
+// ProbeDone records the result of a probe that started at began. late says that this VM itself was
 // delayed meanwhile, so that a missing answer says nothing about the endpoint.
-func (d *Detector) Asked(began, now time.Time, address string, answered, late bool) Verdict {
+func (d *Detector) ProbeDone(began, now time.Time, address string, answered, late bool) Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.endpoints[address]
--- a/policy/silence/silence_test.go
+++ b/policy/silence/silence_test.go
@@ -14,23 +14,23 @@
 
 // failProbe reports a probe that timed out.
 func failProbe(d *Detector, ms int) Verdict {
-	return d.Asked(at(ms), at(ms).Add(AnswerWithin), "a", false, false)
+	return d.ProbeDone(at(ms), at(ms).Add(ProbeTimeout), "a", false, false)
 }
 
 func TestLostAfterTwoProbes(t *testing.T) {
 	d := New()
-	d.Sent(at(0), "a")
-	require.Empty(t, d.Due(at(299)))
-	require.Equal(t, []string{"a"}, d.Due(at(300)))
-	require.Empty(t, d.Due(at(310)), "a probe is under way")
+	d.RequestSent(at(0), "a")
+	require.Empty(t, d.DueProbes(at(299)))
+	require.Equal(t, []string{"a"}, d.DueProbes(at(300)))
+	require.Empty(t, d.DueProbes(at(310)), "a probe is under way")
 	require.Equal(t, Unsure, failProbe(d, 300))
 	require.Equal(t, Lost, failProbe(d, 500))
-	require.Empty(t, d.Due(at(900)))
-	require.Equal(t, []string{"a"}, d.Due(at(1000)))
+	require.Empty(t, d.DueProbes(at(900)))
+	require.Equal(t, []string{"a"}, d.DueProbes(at(1000)))
 	require.Equal(t, StillLost, failProbe(d, 1000))
-	d.Ended("a")
-	require.Equal(t, []string{"a"}, d.Due(at(1600)), "no request waits, but recovery must be detected")
-	require.Equal(t, Back, d.Asked(at(1600), at(1601), "a", true, false))
+	d.RequestEnded("a")
+	require.Equal(t, []string{"a"}, d.DueProbes(at(1600)), "no request waits, but recovery must be detected")
+	require.Equal(t, Back, d.ProbeDone(at(1600), at(1601), "a", true, false))
 	require.Empty(t, d.endpoints)
 }
 
@@ -42,18 +42,18 @@
 		want   Verdict
 	}{
 		"takes the connection":           {answer: true, want: Alive},
-		"an event comes meanwhile":       {during: func(d *Detector) { d.Heard(at(350), "a") }, want: Alive},
-		"the request is answered":        {during: func(d *Detector) { d.Ended("a") }, want: Alive},
-		"address of another incarnation": {during: func(d *Detector) { d.Forget("a"); d.Ended("a") }, want: Alive},
+		"an event comes meanwhile":       {during: func(d *Detector) { d.Received(at(350), "a") }, want: Alive},
+		"the request is answered":        {during: func(d *Detector) { d.RequestEnded("a") }, want: Alive},
+		"address of another incarnation": {during: func(d *Detector) { d.Forget("a"); d.RequestEnded("a") }, want: Alive},
 		"this VM was delayed":            {late: true, want: Unsure},
 	} {
 		d := New()
-		d.Sent(at(0), "a")
-		require.Len(t, d.Due(at(300)), 1, name)
+		d.RequestSent(at(0), "a")
+		require.Len(t, d.DueProbes(at(300)), 1, name)
 		if c.during != nil {
 			c.during(d)
 		}
-		require.Equal(t, c.want, d.Asked(at(300), at(500), "a", c.answer, c.late), name)
+		require.Equal(t, c.want, d.ProbeDone(at(300), at(500), "a", c.answer, c.late), name)
 	}
 }
 
@@ -61,12 +61,12 @@
 // must not count against the endpoint.
 func TestDelayedVMDeclaresNoneLost(t *testing.T) {
 	d := New()
-	d.Sent(at(0), "a")
-	require.Len(t, d.Due(at(300)), 1)
+	d.RequestSent(at(0), "a")
+	require.Len(t, d.DueProbes(at(300)), 1)
 	for range 10 {
-		require.Equal(t, Unsure, d.Asked(at(300), at(2000), "a", false, true))
+		require.Equal(t, Unsure, d.ProbeDone(at(300), at(2000), "a", false, true))
 	}
-	require.Equal(t, Alive, d.Asked(at(2000), at(2001), "a", true, false))
+	require.Equal(t, Alive, d.ProbeDone(at(2000), at(2001), "a", true, false))
 }
 
 // simulation is a fleet of endpoints and the requests sent to them.
@@ -109,7 +109,7 @@
 	for now := 0; now < until; now++ {
 		if now%20 == 0 {
 			if a := addresses[f.rng.IntN(fleetSize)]; !gone[a] {
-				f.detector.Sent(at(now), a)
+				f.detector.RequestSent(at(now), a)
 				open = append(open, pendingRequest{a, now, now + 20 + f.rng.IntN(1980)})
 			}
 		}
@@ -117,29 +117,29 @@
 		for _, w := range open {
 			switch {
 			case f.silent(w.address, now) && gone[w.address]:
-				f.detector.Ended(w.address)
+				f.detector.RequestEnded(w.address)
 				f.waits = append(f.waits, now-max(w.since, f.silentFrom))
 			case !f.silent(w.address, now) && now >= w.until:
-				f.detector.Heard(at(now), w.address)
-				f.detector.Ended(w.address)
+				f.detector.Received(at(now), w.address)
+				f.detector.RequestEnded(w.address)
 			default:
 				kept = append(kept, w)
 			}
 		}
 		open = kept
-		for _, a := range f.detector.Due(at(now)) {
+		for _, a := range f.detector.DueProbes(at(now)) {
 			probeStarts[a] = now
 			f.probes++
 		}
 		for a, began := range probeStarts {
 			answered := !f.silent(a, now) && f.rng.Float64() >= f.lossShare
-			if !answered && now-began < int(AnswerWithin.Milliseconds()) {
+			if !answered && now-began < int(ProbeTimeout.Milliseconds()) {
 				if f.silent(a, now) {
 					continue
 				}
 			}
 			delete(probeStarts, a)
-			switch f.detector.Asked(at(began), at(now), a, answered, false) {
+			switch f.detector.ProbeDone(at(began), at(now), a, answered, false) {
 			case Unsure:
 				probeStarts[a] = now
 			case Lost:
--- a/policy/sizing/load_test.go
+++ b/policy/sizing/load_test.go
@@ -11,21 +11,21 @@
 )
 
 // escalationRule decides whether a weak answer is escalated to the largest model.
-type escalationRule func(s Situation) bool
+type escalationRule func(s Input) bool
 
 var rules = map[string]escalationRule{
-	"always": func(s Situation) bool { return s.Confidence < Threshold },
-	"by slots": func(s Situation) bool {
-		use := float64(s.Under) / float64(s.Slots)
+	"always": func(s Input) bool { return s.Confidence < Threshold },
+	"by slots": func(s Input) bool {
+		use := float64(s.Running) / float64(s.Slots)
 		return float64(s.Confidence) < Threshold*(1-min(max((use-0.2)/0.4, 0), 1))
 	},
-	"by wait": func(s Situation) bool {
-		s.Under = 0
-		_, up := Next(s)
+	"by wait": func(s Input) bool {
+		s.Running = 0
+		_, up := NextModel(s)
 		return up
 	},
-	"by both": func(s Situation) bool {
-		_, up := Next(s)
+	"by both": func(s Input) bool {
+		_, up := NextModel(s)
 		return up
 	},
 }
@@ -85,11 +85,11 @@
 				running++
 			}
 		}
-		s := Situation{
-			Models: make([]string, 3), Known: true, AttemptsLeft: 2, Left: time.Minute, Whole: time.Minute,
-			Confidence: int(min(max(50+160*(0.56-hard)+10*r.NormFloat64(), 0), 100)), Aim: simAim,
+		s := Input{
+			Models: make([]string, 3), Known: true, AttemptsLeft: 2, Left: time.Minute, Total: time.Minute,
+			Confidence: int(min(max(50+160*(0.56-hard)+10*r.NormFloat64(), 0), 100)), TargetLatency: simAim,
 			Spent: seconds(first - now), Wait: seconds(max(least-first, 0)), Read: seconds(largestWork * tokens * simUnitTime.Seconds()),
-			Under: running / simEngines, Slots: slots,
+			Running: running / simEngines, Slots: slots,
 		}
 		right, runs := hard < 0.56, 0.6
 		if escalates(s) {
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -71,11 +71,11 @@
 	return math.Pow(largestWork, float64(min(at, n-1))/float64(n-1))
 }
 
-// Situation holds the inputs of the decision after a model's answer.
-type Situation struct {
-	// Models are the route's, smallest first; At is the index of the one that answered.
-	Models []string
-	At     int
+// Input holds the inputs of the decision after a model's answer.
+type Input struct {
+	// Models are the route's, smallest first; Current is the index of the one that answered.
+	Models  []string
+	Current int
 	// Confidence is the model's confidence in its answer, 0 to 100; Known says that the
 	// endpoint reported one.
 	Confidence int
@@ -83,52 +83,52 @@
 	// Spent is the time since the request arrived, Wait the time it would wait for other
 	// requests' work at the best endpoint, and Read the time that the largest model takes to
 	// read it. Aim is the target latency of its first event; 0 if unknown.
-	Spent, Wait, Read, Aim time.Duration
-	// Under is the number of requests that run or wait at the endpoint, as reported with the
+	Spent, Wait, Read, TargetLatency time.Duration
+	// Running is the number of requests that run or wait at the endpoint, as reported with the
 	// answer, and Slots the number it runs at once; 0 if unknown.
-	Under, Slots int
+	Running, Slots int
 	// AttemptsLeft is the number of further endpoints that the request may be sent to.
 	AttemptsLeft int
-	// Left is the caller's remaining time, Whole its total time.
-	Left, Whole time.Duration
+	// Left is the caller's remaining time, Total its total time.
+	Left, Total time.Duration
 }
 
-// Next returns the index of the model to use, and whether to ask it in place of the one that
+// NextModel returns the index of the model to use, and whether to ask it in place of the one that
 // answered.
-func Next(s Situation) (int, bool) {
+func NextModel(s Input) (int, bool) {
 	last := len(s.Models) - 1
-	if !s.Known || s.At >= last || s.AttemptsLeft < 1 {
-		return s.At, false
+	if !s.Known || s.Current >= last || s.AttemptsLeft < 1 {
+		return s.Current, false
 	}
-	if s.Left < time.Duration(minLeftShare*float64(s.Whole)) {
-		return s.At, false
+	if s.Left < time.Duration(minLeftShare*float64(s.Total)) {
+		return s.Current, false
 	}
 	return last, float64(s.Confidence) < s.threshold()
 }
 
 // threshold falls from Threshold to busyThreshold as the wait or the slots in use grow, and is
 // busyThreshold if the larger model's answer would be late.
-func (s Situation) threshold() float64 {
+func (s Input) threshold() float64 {
 	pressure := s.slotPressure()
-	if s.Aim > 0 {
-		if float64(s.Spent+s.Wait+s.Read) > maxAimShare*float64(s.Aim) {
+	if s.TargetLatency > 0 {
+		if float64(s.Spent+s.Wait+s.Read) > maxAimShare*float64(s.TargetLatency) {
 			return busyThreshold
 		}
-		pressure = max(pressure, ramp(float64(s.Wait)/float64(s.Aim), lowWaitShare, highWaitShare))
+		pressure = max(pressure, ramp(float64(s.Wait)/float64(s.TargetLatency), lowWaitShare, highWaitShare))
 	}
 	return Threshold + pressure*(busyThreshold-Threshold)
 }
 
 // slotPressure returns the position of the endpoint's request count between the bounds, from 0
 // (full threshold) to 1 (no escalation).
-func (s Situation) slotPressure() float64 {
+func (s Input) slotPressure() float64 {
 	slots := float64(s.Slots)
 	if slots <= 0 {
 		return 0
 	}
 	low := max(lowUse*slots, min(lowRunning, maxLowUse*slots))
 	high := max(highUse*slots, min(highRunning, maxHighUse*slots))
-	return ramp(float64(s.Under), low, high)
+	return ramp(float64(s.Running), low, high)
 }
 
 // ramp rises linearly from 0 at low to 1 at high.
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -9,36 +9,36 @@
 )
 
 func TestNext(t *testing.T) {
-	base := Situation{Models: []string{"s", "m", "l"}, Known: true, Confidence: 20, AttemptsLeft: 2, Left: time.Second, Whole: time.Second}
-	with := func(f func(*Situation)) Situation {
+	base := Input{Models: []string{"s", "m", "l"}, Known: true, Confidence: 20, AttemptsLeft: 2, Left: time.Second, Total: time.Second}
+	with := func(f func(*Input)) Input {
 		s := base
 		f(&s)
 		return s
 	}
 	for name, c := range map[string]struct {
-		s    Situation
+		s    Input
 		next int
 		up   bool
 	}{
 		"weak":                {base, 2, true},
-		"strong":              {with(func(s *Situation) { s.Confidence = 80 }), 2, false},
-		"no confidence":       {with(func(s *Situation) { s.Known = false }), 0, false},
-		"largest":             {with(func(s *Situation) { s.At = 2 }), 2, false},
-		"no attempts":         {with(func(s *Situation) { s.AttemptsLeft = 0 }), 0, false},
-		"no time":             {with(func(s *Situation) { s.Left = 400 * time.Millisecond }), 0, false},
-		"long wait":           {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 500*time.Millisecond, 5 }), 2, false},
-		"some wait, weak":     {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 10 }), 2, true},
-		"some wait, better":   {with(func(s *Situation) { s.Aim, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 45 }), 2, false},
-		"full":                {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 64, 64, 5 }), 2, false},
-		"half full":           {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 26, 64, 10 }), 2, true},
-		"few slots in use":    {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 8, 16, 54 }), 2, true},
-		"few slots, queue":    {with(func(s *Situation) { s.Under, s.Slots, s.Confidence = 20, 16, 5 }), 2, false},
-		"no aim":              {with(func(s *Situation) { s.Wait = time.Hour }), 2, true},
-		"late by prompt size": {with(func(s *Situation) { s.Aim, s.Read = 2*time.Second, 1700*time.Millisecond }), 2, false},
-		"late by time spent":  {with(func(s *Situation) { s.Aim, s.Spent, s.Read = 2*time.Second, time.Second, time.Second }), 2, false},
-		"large but in time":   {with(func(s *Situation) { s.Aim, s.Read, s.Confidence = 2*time.Second, 1500*time.Millisecond, 54 }), 2, true},
+		"strong":              {with(func(s *Input) { s.Confidence = 80 }), 2, false},
+		"no confidence":       {with(func(s *Input) { s.Known = false }), 0, false},
+		"largest":             {with(func(s *Input) { s.Current = 2 }), 2, false},
+		"no attempts":         {with(func(s *Input) { s.AttemptsLeft = 0 }), 0, false},
+		"no time":             {with(func(s *Input) { s.Left = 400 * time.Millisecond }), 0, false},
+		"long wait":           {with(func(s *Input) { s.TargetLatency, s.Wait, s.Confidence = 2*time.Second, 500*time.Millisecond, 5 }), 2, false},
+		"some wait, weak":     {with(func(s *Input) { s.TargetLatency, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 10 }), 2, true},
+		"some wait, better":   {with(func(s *Input) { s.TargetLatency, s.Wait, s.Confidence = 2*time.Second, 240*time.Millisecond, 45 }), 2, false},
+		"full":                {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 64, 64, 5 }), 2, false},
+		"half full":           {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 26, 64, 10 }), 2, true},
+		"few slots in use":    {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 8, 16, 54 }), 2, true},
+		"few slots, queue":    {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 20, 16, 5 }), 2, false},
+		"no aim":              {with(func(s *Input) { s.Wait = time.Hour }), 2, true},
+		"late by prompt size": {with(func(s *Input) { s.TargetLatency, s.Read = 2*time.Second, 1700*time.Millisecond }), 2, false},
+		"late by time spent":  {with(func(s *Input) { s.TargetLatency, s.Spent, s.Read = 2*time.Second, time.Second, time.Second }), 2, false},
+		"large but in time":   {with(func(s *Input) { s.TargetLatency, s.Read, s.Confidence = 2*time.Second, 1500*time.Millisecond, 54 }), 2, true},
 	} {
-		next, up := Next(c.s)
+		next, up := NextModel(c.s)
 		require.Equal(t, c.up, up, name)
 		if up {
 			require.Equal(t, c.next, next, name)
@@ -68,8 +68,8 @@
 		}
 		confidence := int(50 + 100*(quality[0]-hard) + 20*r.NormFloat64())
 		model, pay := 0, cost[0]
-		s := Situation{Models: make([]string, 3), Known: true, Confidence: confidence, AttemptsLeft: 2, Left: time.Second, Whole: time.Second}
-		if next, up := Next(s); up {
+		s := Input{Models: make([]string, 3), Known: true, Confidence: confidence, AttemptsLeft: 2, Left: time.Second, Total: time.Second}
+		if next, up := NextModel(s); up {
 			model, pay = next, pay+cost[next]
 		}
 		worth[2] += answer(hard, model)
--- a/policy/trial/sessions.go
+++ b/policy/trial/sessions.go
@@ -9,8 +9,8 @@
 // Session is the hash of a session's service and ID.
 type Session uint32
 
-// SessionOf returns the hash of a session of a service.
-func SessionOf(service, id string) Session {
+// HashSession returns the hash of a session of a service.
+func HashSession(service, id string) Session {
 	return Session(xxhash.Sum64String(service + "/" + id))
 }
 
--- a/policy/trial/trial.go
+++ b/policy/trial/trial.go
@@ -69,9 +69,9 @@
 	Worse bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Share returns the share of sessions that try a new version, for the exposure that operators
+// SessionShare returns the share of sessions that try a new version, for the exposure that operators
 // allow over the whole roll-out.
-func Share(exposure float64) float64 { return min(exposureFactor*exposure, 0.5) }
+func SessionShare(exposure float64) float64 { return min(exposureFactor*exposure, 0.5) }
 
 // Trial is one VM's view of a roll-out in progress. It is safe for concurrent use. The argument
 // now is a time on a clock with any origin that runs while the VM is suspended.
@@ -88,7 +88,7 @@
 
 // New starts a trial that was ordered the given age ago.
 func New(now, age, duration, session time.Duration, exposure float64) *Trial {
-	return &Trial{duration: duration, session: session, share: Share(exposure), began: now - age, others: make(map[string]Counts)}
+	return &Trial{duration: duration, session: session, share: SessionShare(exposure), began: now - age, others: make(map[string]Counts)}
 }
 
 // Age returns the time since the order, as far as this VM knows.
@@ -98,8 +98,8 @@
 	return now - t.began
 }
 
-// Own returns this VM's tallies.
-func (t *Trial) Own() Counts {
+// LocalCounts returns this VM's tallies.
+func (t *Trial) LocalCounts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.own
@@ -107,9 +107,9 @@
 	return c
 }
 
-// Heard stores another VM's counts. The older of two ages is the better estimate of the time
+// SetPeerCounts stores another VM's counts. The older of two ages is the better estimate of the time
 // since the order.
-func (t *Trial) Heard(now time.Duration, source string, age time.Duration, c Counts) {
+func (t *Trial) SetPeerCounts(now time.Duration, source string, age time.Duration, c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.began = min(t.began, now-age)
@@ -117,8 +117,8 @@
 	t.worse = t.worse || c.Worse
 }
 
-// Answered counts an answer of the new or the old version.
-func (t *Trial) Answered(toNew, failed, slow bool) {
+// CountAnswer counts an answer of the new or the old version.
+func (t *Trial) CountAnswer(toNew, failed, slow bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := &t.own.From
@@ -148,16 +148,16 @@
 	return from, to
 }
 
-// Exposes reports whether the sessions that Session.Tries selects are to use the new version
+// IsExposing reports whether the sessions that Session.Tries selects are to use the new version
 // now.
-func (t *Trial) Exposes(now time.Duration) bool {
+func (t *Trial) IsExposing(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.worse && now-t.began >= t.session+startDelay
 }
 
-// Deciding reports whether some VM may have taken the new version by now.
-func (t *Trial) Deciding(now time.Duration) bool {
+// MayBeTaken reports whether some VM may have taken the new version by now.
+func (t *Trial) MayBeTaken(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return float64(now-t.began) >= decideShare*float64(t.duration)
@@ -170,12 +170,12 @@
 	return t.worse
 }
 
-// Judge decides from the tallies of all VMs and returns the reason, empty while undecided.
-func (t *Trial) Judge(now time.Duration) (d Decision, reason string) {
+// Decide decides from the tallies of all VMs and returns the reason, empty while undecided.
+func (t *Trial) Decide(now time.Duration) (d Decision, reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	from, to := t.sum()
-	evidence := rollout.Worse(from, to, t.share)
+	evidence := rollout.LogEvidence(from, to, t.share)
 	if evidence >= takeBackEvidence || to.Errors+to.Slow >= maxBadAnswers {
 		t.worse = true
 	}
@@ -193,11 +193,11 @@
 	return Undecided, ""
 }
 
-// Moved reports whether the old version may be stopped, a time moving after the new one got all
+// MayStopOld reports whether the old version may be stopped, a time moving after the new one got all
 // requests. If the old version stops at once, its endpoints cut off the answers under way; and
 // if the operators order the next version right after, sessions that just used the old version
 // change versions for no reason in the new order.
-func (t *Trial) Moved(now, moving time.Duration) bool {
+func (t *Trial) MayStopOld(now, moving time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return moving >= t.session || float64(now-t.began) >= completeShare*float64(t.duration)
--- a/policy/trial/trial_test.go
+++ b/policy/trial/trial_test.go
@@ -48,10 +48,10 @@
 			if now >= 0 && now%(400*time.Millisecond) == 0 {
 				for u := range trials {
 					if u != v {
-						trials[v].Heard(now, fmt.Sprint(u), trials[u].Age(now), trials[u].Own())
+						trials[v].SetPeerCounts(now, fmt.Sprint(u), trials[u].Age(now), trials[u].LocalCounts())
 					}
 				}
-				trials[v].Judge(now)
+				trials[v].Decide(now)
 			}
 		}
 		if r.Float64() < p.perS*step.Seconds() {
@@ -62,9 +62,9 @@
 			} else if recent = append(recent, id); len(recent) > 40 {
 				recent = recent[1:]
 			}
-			s := SessionOf("svc", id)
-			tries := s.Tries(Share(exposure))
-			toNew := now >= 0 && tries && trials[v].Exposes(now)
+			s := HashSession("svc", id)
+			tries := s.Tries(SessionShare(exposure))
+			toNew := now >= 0 && tries && trials[v].IsExposing(now)
 			l, ok := lastOf[id]
 			if known := ok && now-l.at < session+startDelay; known && !trials[v].Worse() {
 				toNew = l.toNew
@@ -78,7 +78,7 @@
 			}
 		}
 		if now >= 0 && o.decision == Undecided {
-			if d, _ := trials[0].Judge(now); d != Undecided {
+			if d, _ := trials[0].Decide(now); d != Undecided {
 				o.decision, o.at = d, now
 			}
 		}
@@ -97,7 +97,7 @@
 			o.badServed++
 		}
 	}
-	t.Answered(toNew, failed, slow)
+	t.CountAnswer(toNew, failed, slow)
 }
 
 func good(time.Duration, *rand.Rand) (bool, bool) { return false, false }
@@ -157,13 +157,13 @@
 func TestWorseVerdictSpreads(t *testing.T) {
 	a, b := New(0, 0, 20*time.Second, time.Second, 0.15), New(0, 0, 20*time.Second, time.Second, 0.15)
 	for range 30 {
-		a.Answered(true, true, false)
+		a.CountAnswer(true, true, false)
 	}
-	d, _ := a.Judge(5 * time.Second)
+	d, _ := a.Decide(5 * time.Second)
 	require.Equal(t, TakeBack, d)
-	b.Heard(5*time.Second, "c", 0, Counts{Worse: a.Own().Worse})
-	require.False(t, b.Exposes(5*time.Second))
-	d, _ = b.Judge(5 * time.Second)
+	b.SetPeerCounts(5*time.Second, "c", 0, Counts{Worse: a.LocalCounts().Worse})
+	require.False(t, b.IsExposing(5*time.Second))
+	d, _ = b.Decide(5 * time.Second)
 	require.Equal(t, TakeBack, d)
 }
 
@@ -176,8 +176,8 @@
 // A VM that starts during a roll-out takes its age from the other VMs.
 func TestAgeComesFromOtherVMs(t *testing.T) {
 	tr := New(100*time.Second, 0, 20*time.Second, 5*time.Second, 0.15)
-	require.False(t, tr.Exposes(100*time.Second))
-	tr.Heard(100*time.Second, "other", 8*time.Second, Counts{})
-	require.True(t, tr.Exposes(100*time.Second))
+	require.False(t, tr.IsExposing(100*time.Second))
+	tr.SetPeerCounts(100*time.Second, "other", 8*time.Second, Counts{})
+	require.True(t, tr.IsExposing(100*time.Second))
 	require.Equal(t, 8*time.Second, tr.Age(100*time.Second))
 }
--- a/policy/versiontest/cascade.go
+++ b/policy/versiontest/cascade.go
@@ -179,7 +179,7 @@
 		if p.ratingDown {
 			o.RatingErr = errNoRating
 		}
-		if p.strategy.Learner.Judge(plan, i, o, p.now).Action == cascade.Accept {
+		if p.strategy.Learner.Evaluate(plan, i, o, p.now).Action == cascade.Accept {
 			return index
 		}
 		r.Discarded++
--- a/policy/watching/outage.go
+++ b/policy/watching/outage.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// FirstPause is the time after which a failed call is repeated.
-	FirstPause = 100 * time.Millisecond
+	// RetryDelay is the time after which a failed call is repeated.
+	RetryDelay = 100 * time.Millisecond
 	// turnInterval is the time between two tries of a VM, over all kinds, to get the state from
 	// other VMs: each try is some round trips within the data centres.
 	turnInterval = 200 * time.Millisecond
@@ -81,23 +81,23 @@
 type Turn struct {
 	// Wait is the time until the next try is due; 0 if the caller may try now.
 	Wait time.Duration
-	// Ask says that the caller may call the platform, not only other VMs.
-	Ask bool
+	// MayCall says that the caller may call the platform, not only other VMs.
+	MayCall bool
 }
 
-// Turn returns the turn of a caller and takes it if it is due. It calls rank only in an outage.
-func (o *Outage) Turn(now time.Duration, rank func() int) Turn {
+// NextTurn returns the turn of a caller and takes it if it is due. It calls rank only in an outage.
+func (o *Outage) NextTurn(now time.Duration, rank func() int) Turn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.lost {
-		return Turn{Ask: true}
+		return Turn{MayCall: true}
 	}
 	if now < o.nextTurn {
 		return Turn{Wait: o.nextTurn - now}
 	}
 	o.nextTurn = now + turnInterval
-	t := Turn{Ask: now >= o.nextCall}
-	if t.Ask {
+	t := Turn{MayCall: now >= o.nextCall}
+	if t.MayCall {
 		o.granted = true
 		o.nextCall = now + callInterval(rank())
 	}
--- a/policy/watching/peers.go
+++ b/policy/watching/peers.go
@@ -68,13 +68,13 @@
 	for _, i := range sourceRanks(place.parent(rank), rank) {
 		peers = append(peers, ranked[i])
 	}
-	peers = append(peers, place.Last...)
+	peers = append(peers, place.Fallback...)
 	for _, peer := range peers {
 		if now >= p.failed[peer].until && !slices.Contains(out, peer) {
 			out = append(out, peer)
 		}
 	}
-	if len(out) == 0 && (rank >= watchers+backupWatchers || len(place.Last) > 0) {
+	if len(out) == 0 && (rank >= watchers+backupWatchers || len(place.Fallback) > 0) {
 		// With no source this VM would watch the platform, which only the watchers and their
 		// backups do.
 		out = []string{slices.MinFunc(peers, func(a, b string) int { return cmp.Compare(p.failed[a].until, p.failed[b].until) })}
@@ -122,8 +122,8 @@
 	return f.count == 1
 }
 
-// MayAsk reports whether a VM that found no state at other VMs may call the platform. left is
+// MayCall reports whether a VM that found no state at other VMs may call the platform. left is
 // how long its own state remains valid, negative if it is too old.
-func MayAsk(rank int, left time.Duration) bool {
+func MayCall(rank int, left time.Duration) bool {
 	return rank < watchers+backupWatchers || left <= -staleGrace
 }
--- a/policy/watching/tree.go
+++ b/policy/watching/tree.go
@@ -43,8 +43,8 @@
 	Tree
 	// Rank is the VM's index in Ranked.
 	Rank int
-	// Last lists the VMs to read from if no VM of the tree has current state.
-	Last []string
+	// Fallback lists the VMs to read from if no VM of the tree has current state.
+	Fallback []string
 }
 
 // PlaceOf returns a VM's place. The watchers and the next two VMs of each data centre, its
@@ -78,5 +78,5 @@
 	if inTop {
 		return Place{Tree: top, Rank: rank}
 	}
-	return Place{Tree: local, Rank: rank, Last: top.Ranked[:watchers]}
+	return Place{Tree: local, Rank: rank, Fallback: top.Ranked[:watchers]}
 }
--- a/policy/watching/watching_test.go
+++ b/policy/watching/watching_test.go
@@ -131,12 +131,12 @@
 		last := began
 		for now := began; now < began+length; now += 10 * time.Millisecond {
 			for range kinds {
-				turn := o.Turn(now, func() int { return rank })
+				turn := o.NextTurn(now, func() int { return rank })
 				if turn.Wait > 0 {
 					continue
 				}
 				turns++
-				if turn.Ask {
+				if turn.MayCall {
 					asked++
 					require.LessOrEqual(t, now-last, maxCallInterval+turnInterval)
 					last = now
@@ -156,7 +156,7 @@
 	now := time.Minute
 	require.True(t, o.Claim(now))
 	require.False(t, o.Claim(now+time.Second), "a call by another kind")
-	require.True(t, o.Turn(now, func() int { return 200 }).Ask)
+	require.True(t, o.NextTurn(now, func() int { return 200 }).MayCall)
 	require.True(t, o.Claim(now+claimDuration))
 	o.Regained()
 	require.True(t, o.Claim(now+claimDuration))
@@ -169,19 +169,19 @@
 	var o Outage
 	rank := func() int { return 50 }
 	o.Lost(time.Minute, 50)
-	require.Positive(t, o.Turn(time.Minute, rank).Wait)
+	require.Positive(t, o.NextTurn(time.Minute, rank).Wait)
 	o.Regained()
 	for range 4 {
-		require.Equal(t, Turn{Ask: true}, o.Turn(time.Minute, rank))
+		require.Equal(t, Turn{MayCall: true}, o.NextTurn(time.Minute, rank))
 	}
 }
 
 // If the watchers have no state, the next two VMs call the platform at once. The others wait a
 // moment for these, but call in time for a change to take effect within its bound.
 func TestMayAsk(t *testing.T) {
-	require.True(t, MayAsk(0, time.Second))
-	require.True(t, MayAsk(watchers+backupWatchers-1, time.Second))
-	require.False(t, MayAsk(watchers+backupWatchers, time.Second))
-	require.False(t, MayAsk(90, 0))
-	require.True(t, MayAsk(90, -staleGrace))
+	require.True(t, MayCall(0, time.Second))
+	require.True(t, MayCall(watchers+backupWatchers-1, time.Second))
+	require.False(t, MayCall(watchers+backupWatchers, time.Second))
+	require.False(t, MayCall(90, 0))
+	require.True(t, MayCall(90, -staleGrace))
 }
--- a/router/dispatch/cold.go
+++ b/router/dispatch/cold.go
@@ -62,7 +62,7 @@
 	d, now := t.d, time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Done(now, t.picked, t.request, unusedSample)
+	d.table.Release(now, t.picked, t.request, unusedSample)
 	if e := d.endpoints[t.Endpoint]; e != nil {
 		delete(e.running, t.item.ID)
 	}
--- a/router/dispatch/configure.go
+++ b/router/dispatch/configure.go
@@ -46,7 +46,7 @@
 			delete(d.endpoints, name)
 		}
 	}
-	d.table.Set(specs)
+	d.table.SetEndpoints(specs)
 	for _, e := range s.Endpoints {
 		leaving := e.State == config.EndpointLeaving
 		dc := s.DataCentres[e.DataCentre]
@@ -91,7 +91,7 @@
 			d.pools[pool] = ps
 		}
 		ps.endpointCount = len(names)
-		ps.detector.Set(names)
+		ps.detector.SetEndpoints(names)
 		ps.tracker.Resize(len(names))
 	}
 	for pool, ps := range d.pools {
--- a/router/dispatch/dispatcher.go
+++ b/router/dispatch/dispatcher.go
@@ -110,7 +110,7 @@
 	d.updateRamps(now)
 	d.unblockColdSlots(now)
 	for _, ps := range d.pools {
-		for _, c := range ps.detector.Due(now) {
+		for _, c := range ps.detector.StartProbations(now) {
 			d.applyDetection(now, ps, c)
 		}
 		d.refresh(ps, now)
--- a/router/dispatch/dump.go
+++ b/router/dispatch/dump.go
@@ -67,7 +67,7 @@
 
 func (ps *poolState) countQuarantined(now time.Time) (n int) {
 	for _, c := range ps.tracker.Counts(now) {
-		if ps.tracker.Quarantined(now, c.Fingerprint) {
+		if ps.tracker.IsQuarantined(now, c.Fingerprint) {
 			n++
 		}
 	}
--- a/router/dispatch/endpoint.go
+++ b/router/dispatch/endpoint.go
@@ -102,8 +102,8 @@
 	d.table.Update(name, func(s *picker.State) { s.Down = down })
 }
 
-// Unreachable records that an endpoint did not answer a state query.
-func (d *Dispatcher) Unreachable(endpoint string) {
+// MarkUnreachable records that an endpoint did not answer a state query.
+func (d *Dispatcher) MarkUnreachable(endpoint string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.endpoints[endpoint]; e != nil {
@@ -130,28 +130,28 @@
 		suspects = append(suspects, f)
 	}
 	others := max(t.picked.Report.InFlight-len(suspects), 0)
-	t.pool.tracker.Crashed(now, t.Endpoint, suspects, others)
+	t.pool.tracker.RecordCrash(now, t.Endpoint, suspects, others)
 }
 
 // applyReport applies an endpoint's report on its own state. Callers hold d.mu.
 func (d *Dispatcher) applyReport(name string, e *endpoint, r Result) {
-	if r.At.Before(e.reportedAt) {
+	if r.ReadAt.Before(e.reportedAt) {
 		// A stream's result carries the report from the stream's beginning. A report from
 		// before a restart would mark the endpoint as warm and reachable again.
 		return
 	}
-	e.reportedAt = r.At
+	e.reportedAt = r.ReadAt
 	e.incarnation = r.Incarnation
 	d.setDown(name, e, false)
 	d.setCold(name, e, r.Cold)
 	if r.Running >= 0 {
-		d.table.Report(name, picker.Report{InFlight: r.Running, At: r.At})
+		d.table.ApplyLoadReport(name, picker.LoadReport{InFlight: r.Running, At: r.ReadAt})
 	}
 }
 
-// Reported applies an endpoint's report on its own state that came without a request. A
+// ApplyReport applies an endpoint's report on its own state that came without a request. A
 // report older than the one in force is ignored.
-func (d *Dispatcher) Reported(endpoint string, r Result) {
+func (d *Dispatcher) ApplyReport(endpoint string, r Result) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,18 +163,18 @@
 	d.refreshPools(e, now)
 }
 
-// Place is an endpoint and its "ip:port".
-type Place struct{ Endpoint, Address string }
+// EndpointAddress is an endpoint and its "ip:port".
+type EndpointAddress struct{ Endpoint, Address string }
 
-// Cold returns the endpoints in cold start of which this VM has slots. Their
+// ColdEndpoints returns the endpoints in cold start of which this VM has slots. Their
 // state must be queried, since there may be too few requests to show when they are warm.
-func (d *Dispatcher) Cold() []Place {
+func (d *Dispatcher) ColdEndpoints() []EndpointAddress {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []Place
+	var out []EndpointAddress
 	for name, e := range d.endpoints {
 		if e.cold && d.bounds(e).Slots > 0 {
-			out = append(out, Place{Endpoint: name, Address: e.spec.Address})
+			out = append(out, EndpointAddress{Endpoint: name, Address: e.spec.Address})
 		}
 	}
 	return out
--- a/router/dispatch/endpoint_test.go
+++ b/router/dispatch/endpoint_test.go
@@ -25,19 +25,19 @@
 		defer d.mu.Unlock()
 		return d.endpoints[name].cold, d.endpoints[name].down
 	}
-	d.Reported(name, Result{Reported: true, Cold: true, Incarnation: "2", Running: 0, At: begun.Add(time.Millisecond)})
-	ticket.Done(Result{Failed: true, Reported: true, Incarnation: "1", Running: 3, At: begun})
+	d.ApplyReport(name, Result{Reported: true, Cold: true, Incarnation: "2", Running: 0, ReadAt: begun.Add(time.Millisecond)})
+	ticket.Done(Result{Failed: true, Reported: true, Incarnation: "1", Running: 3, ReadAt: begun})
 	cold, down := state()
 	require.True(t, cold)
 	require.False(t, down)
 
-	d.Unreachable(name)
-	d.Reported(name, Result{Reported: true, Incarnation: "1", Running: 3, At: begun})
+	d.MarkUnreachable(name)
+	d.ApplyReport(name, Result{Reported: true, Incarnation: "1", Running: 3, ReadAt: begun})
 	cold, down = state()
 	require.True(t, cold)
 	require.True(t, down)
 
-	d.Reported(name, Result{Reported: true, Incarnation: "2", Running: 0, At: time.Now().Add(time.Millisecond)})
+	d.ApplyReport(name, Result{Reported: true, Incarnation: "2", Running: 0, ReadAt: time.Now().Add(time.Millisecond)})
 	cold, down = state()
 	require.False(t, cold)
 	require.False(t, down)
--- a/router/dispatch/hedge.go
+++ b/router/dispatch/hedge.go
@@ -8,10 +8,10 @@
 )
 
 // HedgeAfter returns how long after a ticket's start a second attempt may run in
-// parallel to the first; see retry.HedgeAfter.
+// parallel to the first; see retry.HedgeDelay.
 func (d *Dispatcher) HedgeAfter(t *Ticket) time.Duration {
 	expected := t.pool.queue.Expected(t.need.Size)
-	return retry.HedgeAfter(expected, t.need.Deadline.Sub(t.start))
+	return retry.HedgeDelay(expected, t.need.Deadline.Sub(t.start))
 }
 
 // Hedge returns a ticket for a second attempt at another endpoint if the retry budget
@@ -50,9 +50,9 @@
 // Callers hold d.mu.
 func (d *Dispatcher) dropHedge(ps *poolState, now time.Time, it admission.Item, t *Ticket) {
 	if t != nil {
-		d.table.Done(now, t.picked, t.request, unusedSample)
+		d.table.Release(now, t.picked, t.request, unusedSample)
 		delete(d.endpoints[t.Endpoint].running, it.ID)
 	}
-	ps.queue.Done(now, it, 0, 0)
+	ps.queue.Release(now, it, 0, 0)
 	d.refresh(ps, now)
 }
--- a/router/dispatch/line.go
+++ b/router/dispatch/line.go
@@ -45,12 +45,12 @@
 	if ps == nil {
 		return nil, refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", n.Pool)
 	}
-	if ps.tracker.Quarantined(now, n.Fingerprint) {
+	if ps.tracker.IsQuarantined(now, n.Fingerprint) {
 		d.metrics.quarantined.Inc()
 		return nil, refusal.New(http.StatusUnprocessableEntity, refusal.Quarantined, "this request crashed the endpoints that ran it")
 	}
-	if ps.detector.Broken(now) {
-		return nil, d.admissionRefusal(admission.ReasonBroken, ps.queue.RetryAfter(now, it, admission.ReasonBroken))
+	if ps.detector.CircuitOpen(now) {
+		return nil, d.admissionRefusal(admission.ReasonPoolFailing, ps.queue.RetryAfter(now, it, admission.ReasonPoolFailing))
 	}
 	v := ps.queue.Offer(now, it)
 	switch v.Outcome {
@@ -74,7 +74,7 @@
 		return true
 	}
 	if bad := d.missRefusal(ps, w.need, miss); bad != nil {
-		ps.queue.Done(now, it, 0, 0)
+		ps.queue.Release(now, it, 0, 0)
 		w.done <- grant{refusal: bad}
 		return true
 	}
@@ -140,26 +140,26 @@
 	d.metrics.refused.WithLabelValues(string(reason)).Inc()
 	switch reason {
 	case admission.ReasonDeadline:
-		return refusal.New(http.StatusTooManyRequests, refusal.DeadlineTooShort, "the request can't be done by its deadline").After(after)
+		return refusal.New(http.StatusTooManyRequests, refusal.DeadlineTooShort, "the request can't be done by its deadline").WithRetryAfter(after)
 	case admission.ReasonNoCapacity:
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint takes work now").After(after)
-	case admission.ReasonBroken:
-		return refusal.New(http.StatusServiceUnavailable, refusal.EndpointFailed, "nearly all answers of the pool fail").After(after)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint takes work now").WithRetryAfter(after)
+	case admission.ReasonPoolFailing:
+		return refusal.New(http.StatusServiceUnavailable, refusal.EndpointFailed, "nearly all answers of the pool fail").WithRetryAfter(after)
 	default:
-		return refusal.New(http.StatusTooManyRequests, refusal.Overloaded, "the queue is full").After(after)
+		return refusal.New(http.StatusTooManyRequests, refusal.Overloaded, "the queue is full").WithRetryAfter(after)
 	}
 }
 
 // missRefusal returns the final answer to a request for which no endpoint was picked, or
 // nil if waiting helps.
-func (d *Dispatcher) missRefusal(ps *poolState, n *Need, miss picker.Miss) *refusal.Refusal {
+func (d *Dispatcher) missRefusal(ps *poolState, n *Need, miss picker.NoChoiceReason) *refusal.Refusal {
 	switch {
 	case n.OnlyEndpoint != "" && miss != picker.MissFull:
-		return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "the endpoint that holds the stream takes no work").WhichRan(refusal.DidRun)
+		return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "the endpoint that holds the stream takes no work").WithRan(refusal.DidRun)
 	case miss == picker.MissUnknown:
 		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint serves %s", ps.name)
 	case miss == picker.MissFiltered && len(n.tried) >= ps.endpointCount:
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "all endpoints of %s were tried", ps.name).After(time.Second)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "all endpoints of %s were tried", ps.name).WithRetryAfter(time.Second)
 	}
 	return nil
 }
--- a/router/dispatch/poison.go
+++ b/router/dispatch/poison.go
@@ -6,9 +6,9 @@
 	"goldcrestfork/policy/poison"
 )
 
-// PoisonNews returns, by pool, the blame of requests whose last crash was at most maxAge
+// RecentPoisonCounts returns, by pool, the blame of requests whose last crash was at most maxAge
 // ago. It returns at most limit counts in total.
-func (d *Dispatcher) PoisonNews(maxAge time.Duration, limit int) map[string][]poison.Count {
+func (d *Dispatcher) RecentPoisonCounts(maxAge time.Duration, limit int) map[string][]poison.Count {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -24,8 +24,8 @@
 	return out
 }
 
-// MergePoison merges the counts that another VM sent.
-func (d *Dispatcher) MergePoison(byPool map[string][]poison.Count) {
+// MergePoisonCounts merges the counts that another VM sent.
+func (d *Dispatcher) MergePoisonCounts(byPool map[string][]poison.Count) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/router/dispatch/poison_test.go
+++ b/router/dispatch/poison_test.go
@@ -52,21 +52,21 @@
 		ticket.Done(Result{Crashed: true, Running: -1})
 		for range 20 {
 			for i, vm := range vms {
-				counts := vm.PoisonNews(maxAge, limit)
+				counts := vm.RecentPoisonCounts(maxAge, limit)
 				time.Sleep(50 * time.Millisecond)
-				vms[1-i].MergePoison(counts)
+				vms[1-i].MergePoisonCounts(counts)
 			}
 			time.Sleep(time.Second)
 		}
-		blame := func(d *Dispatcher) poison.Count { return d.PoisonNews(time.Hour, limit)["v"][0] }
+		blame := func(d *Dispatcher) poison.Count { return d.RecentPoisonCounts(time.Hour, limit)["v"][0] }
 		require.Equal(t, blame(vms[0]).Blame, blame(vms[1]).Blame)
 		require.Contains(t, blame(vms[1]).Blame, ticket.Endpoint)
 		for _, vm := range vms {
-			require.Empty(t, vm.PoisonNews(maxAge, limit))
+			require.Empty(t, vm.RecentPoisonCounts(maxAge, limit))
 		}
 		time.Sleep(11 * time.Minute)
 		for _, vm := range vms {
-			require.Empty(t, vm.PoisonNews(time.Hour, limit))
+			require.Empty(t, vm.RecentPoisonCounts(time.Hour, limit))
 		}
 	})
 }
--- a/router/dispatch/ticket.go
+++ b/router/dispatch/ticket.go
@@ -74,14 +74,14 @@
 }
 
 // pick chooses the endpoint and takes its slots. Callers hold d.mu.
-func (d *Dispatcher) pick(ps *poolState, now time.Time, n *Need, it admission.Item) (*Ticket, picker.Miss) {
+func (d *Dispatcher) pick(ps *poolState, now time.Time, n *Need, it admission.Item) (*Ticket, picker.NoChoiceReason) {
 	r := &picker.Request{
 		Pool:    n.Pool,
 		Prefix:  n.Prefix,
 		Exclude: n.tried,
 		Only:    n.OnlyEndpoint,
 		Probe:   n.Idempotent,
-		Suspect: ps.tracker.Suspect(now, n.Fingerprint),
+		Suspect: ps.tracker.IsSuspect(now, n.Fingerprint),
 	}
 	p, miss := d.table.Pick(now, d.rng, r)
 	if p == nil {
@@ -98,7 +98,7 @@
 		// Only started requests add to the retry budget: in an overload, refused ones
 		// would fill it with retries for which the endpoints have no capacity.
 		n.counted = true
-		ps.budget.First(it.Account, n.Size)
+		ps.budget.RecordFirst(it.Account, n.Size)
 	}
 	return t, picker.Picked
 }
@@ -125,14 +125,14 @@
 		// answer to a request with a high max_tokens does not indicate a fast endpoint.
 		size = r.Work
 	}
-	d.table.Done(now, t.picked, t.request, limit.Sample{
+	d.table.Release(now, t.picked, t.request, limit.Sample{
 		Latency: took, Size: size, Refused: r.Refused, Failed: bad || !used,
 	})
 	elapsed := took
 	if bad || r.Refused || !used {
 		elapsed = 0
 	}
-	t.pool.queue.Done(now, t.item, elapsed, r.Work)
+	t.pool.queue.Release(now, t.item, elapsed, r.Work)
 	if used {
 		t.recordResult(now, r)
 	}
@@ -167,8 +167,8 @@
 	Cold        bool
 	// Running is the endpoint's number of running requests; -1 if it was not reported.
 	Running int
-	// At is when the report was read.
-	At time.Time
+	// ReadAt is when the report was read.
+	ReadAt time.Time
 	// Ended is set if the endpoint certainly no longer runs the request.
 	Ended bool
 	// Work is the work that the request took, in the units of Need.Size; 0 if unknown.
@@ -199,7 +199,7 @@
 		d.recordCrash(now, t, e)
 	} else if !r.Failed && !r.Refused && !r.Unreached {
 		e.lastSuccess[t.pool.name] = now
-		t.pool.tracker.Survived(t.need.Fingerprint)
+		t.pool.tracker.RecordSuccess(t.need.Fingerprint)
 	}
 	if (r.Crashed || r.Unreached) && e.spec.Service == "" {
 		// The process that next answers on this address is a new one. Until it reports
--- a/router/entry/cascade.go
+++ b/router/entry/cascade.go
@@ -109,7 +109,7 @@
 	case p.NeedsRating(i):
 		o.Rating, o.RatingErr = e.rate(ctx, c, fin)
 	}
-	return e.learner.Judge(p, i, o, time.Now())
+	return e.learner.Evaluate(p, i, o, time.Now())
 }
 
 // errNoRater is returned if no rating service is configured.
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -88,7 +88,7 @@
 	done = func() { e.buffered.Add(-size) }
 	if e.buffered.Add(size) > maxBuffered {
 		done()
-		return nil, nil, refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "the VM holds as many bodies as it may").After(retryDelay)
+		return nil, nil, refusal.New(http.StatusServiceUnavailable, refusal.Overloaded, "the VM holds as many bodies as it may").WithRetryAfter(retryDelay)
 	}
 	return raw, done, nil
 }
@@ -154,7 +154,7 @@
 		Size:        c.expectedTokens(),
 		Pool:        c.version,
 		Prefix:      c.prefix,
-		Fingerprint: poison.Of(c.Account.Name, c.body.Model, c.raw),
+		Fingerprint: poison.NewFingerprint(c.Account.Name, c.body.Model, c.raw),
 		Idempotent:  c.Key == "",
 	}
 	if c.resume != nil {
@@ -336,7 +336,7 @@
 		Incarnation: o.Report.Incarnation,
 		Cold:        o.Report.Cold,
 		Running:     o.Report.Running,
-		At:          o.Report.At,
+		ReadAt:      o.Report.At,
 	}
 	switch o.Result {
 	case engine.Complete:
@@ -384,9 +384,9 @@
 		r = refusal.New(http.StatusGatewayTimeout, refusal.DeadlineTooShort, "the deadline passed after %d tokens", s.Next)
 	}
 	if s.Next == 0 {
-		return r.WhichRan(refusal.Unknown)
+		return r.WithRan(refusal.Unknown)
 	}
-	return r.WhichRan(refusal.DidRun)
+	return r.WithRan(refusal.DidRun)
 }
 
 // retryDelay is the delay after which a caller may retry in a pool whose endpoints
@@ -398,10 +398,10 @@
 func failureRefusal(o engine.Outcome, s *engine.Stream) *refusal.Refusal {
 	switch {
 	case s.Next > 0:
-		return refusal.New(http.StatusBadGateway, refusal.AnswerCut, "the answer was cut after %d tokens: %v", s.Next, o.Err).WhichRan(refusal.DidRun)
+		return refusal.New(http.StatusBadGateway, refusal.AnswerCut, "the answer was cut after %d tokens: %v", s.Next, o.Err).WithRan(refusal.DidRun)
 	case certainlyNotRun(o.Result):
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint took the request: %v", o.Err).After(max(o.RetryAfter, retryDelay))
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoEndpoint, "no endpoint took the request: %v", o.Err).WithRetryAfter(max(o.RetryAfter, retryDelay))
 	default:
-		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint failed: %v", o.Err).WhichRan(refusal.Unknown).After(retryDelay)
+		return refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the endpoint failed: %v", o.Err).WithRan(refusal.Unknown).WithRetryAfter(retryDelay)
 	}
 }
--- a/router/entry/choose.go
+++ b/router/entry/choose.go
@@ -34,7 +34,7 @@
 	usable := c.usable(s)
 	if c.resume != nil {
 		if !usable(c.resume.Version) {
-			return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "version %s takes no work any more", c.resume.Version).WhichRan(refusal.DidRun)
+			return refusal.New(http.StatusGone, refusal.ResumeNotPossible, "version %s takes no work any more", c.resume.Version).WithRan(refusal.DidRun)
 		}
 		c.version = c.resume.Version
 		return nil
@@ -43,7 +43,7 @@
 	if bad != nil {
 		return bad
 	}
-	c.version, c.arm, c.rollOut = first.Version, first.Arm, rollout.Of(s, c.body.Model)
+	c.version, c.arm, c.rollOut = first.Version, first.Arm, rollout.ForModel(s, c.body.Model)
 	if c.Session == "" {
 		return nil
 	}
@@ -52,7 +52,7 @@
 
 // initialVersion returns the version for a request without a stream or session.
 func (e *Entry) initialVersion(c *chatRequest, s *config.Snapshot, usable func(string) bool) (rollout.Choice, *refusal.Refusal) {
-	if r := rollout.Of(s, c.body.Model); r != nil {
+	if r := rollout.ForModel(s, c.body.Model); r != nil {
 		choose := rollout.Choose
 		if c.Session == "" {
 			choose = e.brakes.Choose
@@ -116,7 +116,7 @@
 	if p.Version != c.version {
 		c.version, c.arm = p.Version, rollout.ArmNone
 	}
-	c.newPin, c.movedFrom = p.Token, p.Moved
+	c.newPin, c.movedFrom = p.Token, p.MovedFrom
 	return nil
 }
 
@@ -135,7 +135,7 @@
 		return refusal.New(http.StatusForbidden, refusal.ModelNotAllowed, "the account may not use version %q any more", c.version)
 	}
 	if v.State != config.VersionServing && !started {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NoVersion, "version %q was withdrawn while the request waited", c.version).After(retryDelay)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NoVersion, "version %q was withdrawn while the request waited", c.version).WithRetryAfter(retryDelay)
 	}
 	return nil
 }
--- a/router/entry/entry.go
+++ b/router/entry/entry.go
@@ -33,9 +33,9 @@
 type Configuration interface {
 	// Snapshot is never nil; its revision is 0 until the VM has a configuration.
 	Snapshot() *config.Snapshot
-	// Fresh returns nil, or the reason why this VM may have missed a relevant change and
+	// CheckFresh returns nil, or the reason why this VM may have missed a relevant change and
 	// must not take new work.
-	Fresh() error
+	CheckFresh() error
 }
 
 // Sessions keeps sessions on their versions; see pin.Pins.
@@ -174,10 +174,10 @@
 // checkAcceptsWork returns a refusal if this VM must not take new work.
 func (e *Entry) checkAcceptsWork() *refusal.Refusal {
 	if e.configuration.Snapshot().Revision == 0 {
-		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(retryDelay)
+		return refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").WithRetryAfter(retryDelay)
 	}
-	if err := e.configuration.Fresh(); err != nil {
-		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "the VM may have missed a change: %v", err).After(retryDelay)
+	if err := e.configuration.CheckFresh(); err != nil {
+		return refusal.New(http.StatusServiceUnavailable, refusal.Stale, "the VM may have missed a change: %v", err).WithRetryAfter(retryDelay)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 // work.
 func (e *Entry) admit(r *http.Request) (*Caller, *refusal.Refusal) {
 	if e.closed.Load() {
-		return nil, refusal.New(http.StatusServiceUnavailable, refusal.Draining, "the VM is about to stop; ask for addresses").After(retryDelay)
+		return nil, refusal.New(http.StatusServiceUnavailable, refusal.Draining, "the VM is about to stop; ask for addresses").WithRetryAfter(retryDelay)
 	}
 	if bad := e.checkAcceptsWork(); bad != nil {
 		return nil, bad
@@ -243,7 +243,7 @@
 func (e *Entry) handleAddresses(w http.ResponseWriter, r *http.Request) {
 	s := e.configuration.Snapshot()
 	if s.Revision == 0 {
-		e.refuse(w, refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").After(retryDelay), "")
+		e.refuse(w, refusal.New(http.StatusServiceUnavailable, refusal.NotReady, "the VM has no configuration yet").WithRetryAfter(retryDelay), "")
 		return
 	}
 	caller, bad := identify(r, s, time.Now())
--- a/router/entry/once.go
+++ b/router/entry/once.go
@@ -19,12 +19,12 @@
 
 // The states of a claim.
 const (
-	// ClaimMine: the claim is granted to this request, which may be dispatched once.
-	ClaimMine ClaimState = iota
+	// ClaimGranted: the claim is granted to this request, which may be dispatched once.
+	ClaimGranted ClaimState = iota
 	// ClaimDone: an earlier send ran; its answer is recorded unless it was too long.
 	ClaimDone
-	// ClaimOpen: an earlier send holds the claim and may still finish.
-	ClaimOpen
+	// ClaimInProgress: an earlier send holds the claim and may still finish.
+	ClaimInProgress
 	// ClaimUnknown: an earlier send may have run; its outcome can't be determined.
 	ClaimUnknown
 	// ClaimOtherBody: the key was used for a different request.
@@ -73,21 +73,21 @@
 		return claim, nil, storeDownRefusal(c)
 	}
 	switch claim.State {
-	case ClaimMine:
+	case ClaimGranted:
 		e.metrics.claims.WithLabelValues("mine").Inc()
 		return claim, nil, nil
 	case ClaimDone:
 		e.metrics.claims.WithLabelValues("repeat").Inc()
 		return recordedAnswer(claim)
-	case ClaimOpen:
+	case ClaimInProgress:
 		e.metrics.claims.WithLabelValues("in-progress").Inc()
-		return claim, nil, refusal.New(http.StatusConflict, refusal.InProgress, "an earlier send of this key is under way").WhichRan(refusal.Unknown).After(retryDelay)
+		return claim, nil, refusal.New(http.StatusConflict, refusal.InProgress, "an earlier send of this key is under way").WithRan(refusal.Unknown).WithRetryAfter(retryDelay)
 	case ClaimOtherBody:
 		e.metrics.claims.WithLabelValues("other-body").Inc()
 		return claim, nil, refusal.New(http.StatusUnprocessableEntity, refusal.KeyReused, "the key was used for another request")
 	default:
 		e.metrics.claims.WithLabelValues("unknown").Inc()
-		return claim, nil, refusal.New(http.StatusConflict, refusal.OutcomeUnknown, "an earlier send of this key may have run; it will not be run again").WhichRan(refusal.Unknown)
+		return claim, nil, refusal.New(http.StatusConflict, refusal.OutcomeUnknown, "an earlier send of this key may have run; it will not be run again").WithRan(refusal.Unknown)
 	}
 }
 
@@ -96,7 +96,7 @@
 // might then perform the action a second time elsewhere. Only a caller that declares its
 // first send is told "not run".
 func storeDownRefusal(c *Caller) *refusal.Refusal {
-	r := refusal.New(http.StatusServiceUnavailable, refusal.StoreDown, "the claim can't be recorded now; this send was not run").After(storeRetryDelay)
+	r := refusal.New(http.StatusServiceUnavailable, refusal.StoreDown, "the claim can't be recorded now; this send was not run").WithRetryAfter(storeRetryDelay)
 	if !c.FirstSend {
 		r.Detail += "; whether an earlier send of the key ran can't be read (send " + HeaderAttempt + ": 1 with a first send)"
 		r.Ran = refusal.Unknown
@@ -113,7 +113,7 @@
 func recordedAnswer(claim Claim) (Claim, *recorded, *refusal.Refusal) {
 	var r recorded
 	if claim.Answer == nil || cbor.Unmarshal(claim.Answer, &r) != nil {
-		return claim, nil, refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the request ran once; its answer was too long to keep").WhichRan(refusal.DidRun)
+		return claim, nil, refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the request ran once; its answer was too long to keep").WithRan(refusal.DidRun)
 	}
 	return claim, &r, nil
 }
@@ -206,7 +206,7 @@
 	a.c.version = r.Version
 	var doc completion
 	if err := json.Unmarshal(r.Body, &doc); err != nil || len(doc.Choices) == 0 {
-		return refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the recorded answer can't be read").WhichRan(refusal.DidRun)
+		return refusal.New(http.StatusConflict, refusal.AnswerNotKept, "the recorded answer can't be read").WithRan(refusal.DidRun)
 	}
 	if !a.c.body.Stream {
 		a.setHeaders()
--- a/router/entry/plain.go
+++ b/router/entry/plain.go
@@ -112,7 +112,7 @@
 	for {
 		t, bad := e.acquirePlain(ctx, p, n)
 		if bad != nil {
-			return service.Answer{}, bad.WhichRan(ran)
+			return service.Answer{}, bad.WithRan(ran)
 		}
 		answer, result, err := e.callHedged(ctx, p, t)
 		if result == service.Answered {
@@ -121,7 +121,7 @@
 		if result == service.Unknown {
 			ran = refusal.Unknown
 		}
-		bad = refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the call failed: %v", err).WhichRan(ran).After(retryDelay)
+		bad = refusal.New(http.StatusBadGateway, refusal.EndpointFailed, "the call failed: %v", err).WithRan(ran).WithRetryAfter(retryDelay)
 		if result == service.Unknown && !p.idempotent {
 			// The call may have run; sending it again could run it twice.
 			bad.Code, bad.RetryAfter = refusal.OutcomeUnknown, 0
--- a/router/operator/change.go
+++ b/router/operator/change.go
@@ -185,7 +185,7 @@
 	change := config.Change{Op: config.OpLabel, Kind: kind, Name: name, IfRevision: condition, Labels: make(map[string]string)}
 	for key, value := range labels {
 		if value == nil {
-			change.Unlabel = append(change.Unlabel, key)
+			change.RemoveLabels = append(change.RemoveLabels, key)
 			continue
 		}
 		change.Labels[key] = *value
--- a/router/operator/read.go
+++ b/router/operator/read.go
@@ -40,7 +40,7 @@
 // kind reads the path's kind; it answers itself when there is no such kind.
 func (h *handler) kind(w http.ResponseWriter, r *http.Request) (config.Kind, bool) {
 	kind := config.Kind(r.PathValue("kind"))
-	if config.New(kind) == nil {
+	if config.NewObject(kind) == nil {
 		h.refuse(w, Problem{Status: http.StatusNotFound, Code: CodeNotFound, Detail: "no kind " + strconv.Quote(string(kind))})
 		return "", false
 	}
--- a/router/refusal/refusal.go
+++ b/router/refusal/refusal.go
@@ -83,14 +83,14 @@
 	return &Refusal{Status: status, Code: code, Detail: fmt.Sprintf(format, args...), Ran: NotRun}
 }
 
-// After sets the delay after which a retry helps, and returns r.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter sets the delay after which a retry helps, and returns r.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
 
-// WhichRan sets what is known about the run, and returns r.
-func (r *Refusal) WhichRan(ran Ran) *Refusal {
+// WithRan sets what is known about the run, and returns r.
+func (r *Refusal) WithRan(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
 }
--- a/router/vm/adapters.go
+++ b/router/vm/adapters.go
@@ -12,8 +12,8 @@
 // inForce is the configuration with the verdict whether new work may be taken under it.
 type inForce struct{ *config.Cache }
 
-// Fresh implements entry.Configuration.
-func (f inForce) Fresh() error {
+// CheckFresh implements entry.Configuration.
+func (f inForce) CheckFresh() error {
 	d := f.Staleness(time.Now())
 	if d.TakesWork() {
 		return nil
@@ -26,5 +26,5 @@
 
 // Version implements entry.Sessions.
 func (s sessions) Version(ctx context.Context, id pin.Session, token, choice string, usable func(string) bool, now time.Time) (pin.Pin, error) {
-	return s.Pins.Version(ctx, id, token, []pin.Share{{Version: choice, Weight: 1}}, usable, now)
+	return s.Pins.Version(ctx, id, token, []pin.VersionWeight{{Version: choice, Weight: 1}}, usable, now)
 }
--- a/router/vm/claims.go
+++ b/router/vm/claims.go
@@ -21,7 +21,7 @@
 	case err != nil:
 		return entry.Claim{}, errors.Join(entry.ErrClaimsDown, err)
 	case start.Ticket != nil:
-		return entry.Claim{State: entry.ClaimMine, Handle: start.Ticket}, nil
+		return entry.Claim{State: entry.ClaimGranted, Handle: start.Ticket}, nil
 	}
 	return repeated(start.Repeat), nil
 }
@@ -32,7 +32,7 @@
 	case ledger.StateDone:
 		return entry.Claim{State: entry.ClaimDone, Answer: r.Answer}
 	case ledger.StateOpen:
-		return entry.Claim{State: entry.ClaimOpen}
+		return entry.Claim{State: entry.ClaimInProgress}
 	}
 	return entry.Claim{State: entry.ClaimUnknown}
 }
--- a/router/vm/configuration_test.go
+++ b/router/vm/configuration_test.go
@@ -20,7 +20,7 @@
 	require.NoError(t, err)
 	var f config.InForce
 	require.NoError(t, json.Unmarshal(data, &f))
-	return f.Everywhere() && f.Of == vms
+	return f.Everywhere() && f.Total == vms
 }
 
 // An operator withdraws a version on one VM; it comes into force on the other over
--- a/router/vm/fleet.go
+++ b/router/vm/fleet.go
@@ -132,7 +132,7 @@
 	return f.Call(ctx, vm, methodLedger, body)
 }
 
-// living implements ledger.Living.
+// living implements ledger.IsAlive.
 func (f *fleet) living(vm string, incarnation uint64) bool {
 	for _, m := range f.live() {
 		if m.ID == vm {
@@ -149,7 +149,7 @@
 func (a answers) Addresses(account, dataCentre string) ([]entry.Address, time.Duration) {
 	v := a.v
 	self := v.fleet.members.Self()
-	view := address.View{Out: outOf(v.cache.Snapshot())}
+	view := address.View{IsOut: outOf(v.cache.Snapshot())}
 	if !self.Draining {
 		view.Candidates = append(view.Candidates, address.Candidate{
 			ID: self.ID, Address: self.CallerAddress, DataCentre: self.DataCentre, Load: self.Load,
@@ -160,10 +160,10 @@
 		places[m.CallerAddress] = m.DataCentre
 		view.Candidates = append(view.Candidates, address.Candidate{
 			ID: m.ID, Address: m.CallerAddress, DataCentre: m.DataCentre, Load: m.Load,
-			Leaving: m.Leaving, Doubtful: m.State == member.Suspect,
+			Leaving: m.Leaving, Suspected: m.State == member.Suspect,
 		})
 	}
-	got := address.Choose(address.Question{Caller: account, DataCentre: dataCentre}, view)
+	got := address.Choose(address.Query{Caller: account, DataCentre: dataCentre}, view)
 	out := make([]entry.Address, len(got.Addresses))
 	for i, at := range got.Addresses {
 		out[i] = entry.Address{Address: at, DataCentre: places[at]}
--- a/router/vm/harness_test.go
+++ b/router/vm/harness_test.go
@@ -100,7 +100,7 @@
 		"keepAddresses": "1ms", "spreadLeaving": "1ms",
 	}`, dir, w.platform, hash("secret"), w.rater, name, strings.Join(w.seeds, ","), strings.ReplaceAll(callers, "DIR", dir)))
 	require.NoError(w.t, err)
-	v, err = newVM(s, zerolog.Nop(), slot.Params{Evidence: 3 * time.Second, Start: 2 * time.Second, Job: time.Minute, Drift: slot.Defaults.Drift})
+	v, err = newVM(s, zerolog.Nop(), slot.Params{MaxEvidenceAge: 3 * time.Second, Start: 2 * time.Second, MaxJob: time.Minute, Drift: slot.Defaults.Drift})
 	require.NoError(w.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
--- a/router/vm/loops.go
+++ b/router/vm/loops.go
@@ -33,7 +33,7 @@
 		Self:          loops.VM{ID: process(v.settings.VM, v.incarnation), DataCentre: v.settings.DataCentre},
 		Peers:         controlPeers{v},
 		Store:         v.store,
-		Configuration: control.NewEdited(v.cache, v.editor),
+		Configuration: control.NewCachedConfiguration(v.cache, v.editor),
 		Endpoints:     ordered{},
 		Recorder:      v.recorder,
 		Brakes:        v.brakes,
--- a/router/vm/poison.go
+++ b/router/vm/poison.go
@@ -31,7 +31,7 @@
 // twice, or by way of others.
 func (v *VM) spreadPoison(ctx context.Context) {
 	for wait(ctx, poisonEvery) {
-		news := v.dispatch.PoisonNews(poisonNews, poisonMost)
+		news := v.dispatch.RecentPoisonCounts(poisonNews, poisonMost)
 		if len(news) == 0 {
 			continue
 		}
@@ -48,6 +48,6 @@
 	if err := cbor.Unmarshal(body, &news); err != nil {
 		return nil, err
 	}
-	v.dispatch.MergePoison(news)
+	v.dispatch.MergePoisonCounts(news)
 	return nil, nil
 }
--- a/router/vm/poll.go
+++ b/router/vm/poll.go
@@ -22,7 +22,7 @@
 	for wait(ctx, pollEvery) {
 		var g errgroup.Group
 		g.SetLimit(pollAtOnce)
-		for _, p := range v.dispatch.Cold() {
+		for _, p := range v.dispatch.ColdEndpoints() {
 			g.Go(func() error {
 				v.ask(ctx, p)
 				return nil
@@ -32,14 +32,14 @@
 	}
 }
 
-func (v *VM) ask(ctx context.Context, p dispatch.Place) {
+func (v *VM) ask(ctx context.Context, p dispatch.EndpointAddress) {
 	r, err := v.engines.State(ctx, p.Address)
 	if err != nil {
 		// The next round asks again.
-		v.dispatch.Unreachable(p.Endpoint)
+		v.dispatch.MarkUnreachable(p.Endpoint)
 		return
 	}
-	v.dispatch.Reported(p.Endpoint, dispatch.Result{
-		Reported: true, Incarnation: r.Incarnation, Cold: r.Cold, Running: r.Running, At: r.At,
+	v.dispatch.ApplyReport(p.Endpoint, dispatch.Result{
+		Reported: true, Incarnation: r.Incarnation, Cold: r.Cold, Running: r.Running, ReadAt: r.At,
 	})
 }
--- a/router/vm/slots.go
+++ b/router/vm/slots.go
@@ -53,7 +53,7 @@
 	if !ok {
 		return nil, false
 	}
-	return &coldSlot{service: s.cold, grant: grant, rest: s.bounds.Start + s.bounds.Job}, true
+	return &coldSlot{service: s.cold, grant: grant, rest: s.bounds.Start + s.bounds.MaxJob}, true
 }
 
 // coldSlot is one cold slot in use.
--- a/standin/store/handler.go
+++ b/standin/store/handler.go
@@ -58,7 +58,7 @@
 		fail(w, err)
 		return
 	}
-	w.Header().Set("ETag", httpstore.Tag(o.Version))
+	w.Header().Set("ETag", httpstore.FormatETag(o.Version))
 	_, _ = w.Write(o.Value)
 }
 
@@ -68,7 +68,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	value, err := io.ReadAll(io.LimitReader(r.Body, durable.MaxValue+1))
+	value, err := io.ReadAll(io.LimitReader(r.Body, durable.MaxValueBytes+1))
 	if err != nil {
 		return // the caller went away in its body: no effect, nobody to tell
 	}
@@ -77,7 +77,7 @@
 		fail(w, err)
 		return
 	}
-	w.Header().Set("ETag", httpstore.Tag(o.Version))
+	w.Header().Set("ETag", httpstore.FormatETag(o.Version))
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -91,7 +91,7 @@
 		fail(w, err)
 		return
 	}
-	w.Header().Set("ETag", httpstore.Tag(version))
+	w.Header().Set("ETag", httpstore.FormatETag(version))
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -136,16 +136,16 @@
 
 // writeLine waits for one event, or writes an empty line when none comes in time.
 func writeLine(w io.Writer, encoder *json.Encoder, events durable.Watch, r *http.Request) bool {
-	ctx, cancel := context.WithTimeout(r.Context(), httpstore.KeepAlive)
+	ctx, cancel := context.WithTimeout(r.Context(), httpstore.KeepAliveInterval)
 	defer cancel()
 	e, err := events.Next(ctx)
 	switch {
 	case err == nil:
-		line := httpstore.Line{Deleted: e.Deleted}
+		line := httpstore.WatchLine{Deleted: e.Deleted}
 		line.Object = httpstore.Object{Name: e.Name, Version: e.Version, Value: e.Value}
 		return encoder.Encode(line) == nil
 	case errors.Is(err, durable.ErrGone):
-		_ = encoder.Encode(httpstore.Line{Gone: true})
+		_ = encoder.Encode(httpstore.WatchLine{Gone: true})
 		return false
 	case r.Context().Err() == nil && errors.Is(err, context.DeadlineExceeded):
 		_, err = w.Write([]byte("\n"))
@@ -230,7 +230,7 @@
 		return 0, nil
 	}
 	if tag := r.Header.Get("If-Match"); tag != "" {
-		return httpstore.ParseTag(tag)
+		return httpstore.ParseETag(tag)
 	}
 	return 0, errors.New("a write needs If-Match or If-None-Match: *")
 }
@@ -245,7 +245,7 @@
 	var conflict *durable.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		w.Header().Set("ETag", httpstore.Tag(conflict.Current.Version))
+		w.Header().Set("ETag", httpstore.FormatETag(conflict.Current.Version))
 		w.WriteHeader(http.StatusPreconditionFailed)
 		_, _ = w.Write(conflict.Current.Value)
 	case errors.Is(err, durable.ErrUnknown):
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -150,7 +150,7 @@
 
 // Put implements durable.Store.
 func (s *Store) Put(ctx context.Context, key durable.Key, value []byte, ifVersion int64) (durable.Object, error) {
-	if len(value) > durable.MaxValue {
+	if len(value) > durable.MaxValueBytes {
 		return durable.Object{}, durable.ErrTooLarge
 	}
 	if err := s.enter(ctx, write, func(c *Counts) {
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -20,10 +20,10 @@
 // faults turns the table's faults into the stand-in's.
 type faults struct{ *store.Store }
 
-func (f faults) Outage(down bool)     { f.SetFaults(store.Faults{Down: down}) }
-func (f faults) HoldWrite()           { f.SetFaults(store.Faults{HoldWrites: 1}) }
-func (f faults) LoseHistory()         { f.SetFaults(store.Faults{HistoryLost: true}) }
-func (f faults) Slow(d time.Duration) { f.SetFaults(store.Faults{Delay: d}) }
+func (f faults) SetOutage(down bool)      { f.SetFaults(store.Faults{Down: down}) }
+func (f faults) HoldWrite()               { f.SetFaults(store.Faults{HoldWrites: 1}) }
+func (f faults) LoseHistory()             { f.SetFaults(store.Faults{HistoryLost: true}) }
+func (f faults) SetDelay(d time.Duration) { f.SetFaults(store.Faults{Delay: d}) }
 func (f faults) LoseReply(effect bool) {
 	if effect {
 		f.SetFaults(store.Faults{LoseReplies: 1})
@@ -94,7 +94,7 @@
 	require.NotErrorIs(t, err, durable.ErrUnknown)
 
 	cut := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("ETag", httpstore.Tag(5))
+		w.Header().Set("ETag", httpstore.FormatETag(5))
 		w.Header().Set("Content-Length", "100")
 		w.WriteHeader(http.StatusPreconditionFailed)
 		_, _ = w.Write([]byte("part"))
