--- a/router/vm/adapters.go
+++ b/router/vm/adapters.go
@@ -9,10 +9,11 @@
 	"goldcrestfork/ledger/pin"
 )
 
-// inForce is the configuration with the verdict whether new work may be taken under it.
+// inForce is the configuration in force, extended by the check whether new work may be
+// taken under it.
 type inForce struct{ *config.Cache }
 
-// Fresh implements entry.Configuration.
+// Fresh implements entry.Configuration. Its error says why the VM takes no new work.
 func (f inForce) Fresh() error {
 	d := f.Staleness(time.Now())
 	if d.TakesWork() {
@@ -21,7 +22,7 @@
 	return errors.New(d.Reason)
 }
 
-// sessions keeps sessions on the version that the roll-out gives them first.
+// sessions pins each session to the version that the roll-out assigned to it first.
 type sessions struct{ *pin.Pins }
 
 // Version implements entry.Sessions.
--- a/router/vm/bench_test.go
+++ b/router/vm/bench_test.go
@@ -15,17 +15,17 @@
 	"goldcrestfork/standin/backend"
 )
 
-// benchWorld is a VM before one engine with many slots.
-func benchWorld(b *testing.B) *world {
-	w := newWorld(b, 1)
+// newBenchTestbed starts a VM with one engine that has many slots.
+func newBenchTestbed(b *testing.B) *testbed {
+	w := newTestbed(b, 1)
 	e := *w.vm.cache.Snapshot().Endpoints["runner-0"]
 	e.Slots = 2000
 	w.put(&e)
 	return w
 }
 
-// urls are the same engine's, asked directly and by way of the VM.
-func (w *world) urls() map[string]string {
+// urls returns the URLs of the same engine, called directly and through the VM.
+func (w *testbed) urls() map[string]string {
 	return map[string]string{
 		"direct": "http://" + w.vm.cache.Snapshot().Endpoints["runner-0"].Address + chatPath,
 		"routed": "http://" + w.vm.CallersAddress() + chatPath,
@@ -46,34 +46,34 @@
 	return resp
 }
 
-func drain(b *testing.B, resp *http.Response) {
+func discardBody(b *testing.B, resp *http.Response) {
 	_, err := io.Copy(io.Discard, resp.Body)
 	require.NoError(b, err)
 	require.NoError(b, resp.Body.Close())
 }
 
-// BenchmarkRequest is one request of one token, one after the other: what the
-// router adds is the difference of the two.
+// BenchmarkRequest measures sequential requests of one token. The difference between the
+// two runs is the time that the router adds.
 func BenchmarkRequest(b *testing.B) {
-	w := benchWorld(b)
+	w := newBenchTestbed(b)
 	for _, way := range []string{"direct", "routed"} {
 		b.Run(way, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				drain(b, post(b, w.urls()[way], 1))
+				discardBody(b, post(b, w.urls()[way], 1))
 			}
 		})
 	}
 }
 
-// BenchmarkRequestsPerCore is many callers at once, stand-in and client included.
+// BenchmarkRequestsPerCore measures concurrent requests, stand-in and client included.
 func BenchmarkRequestsPerCore(b *testing.B) {
-	w := benchWorld(b)
+	w := newBenchTestbed(b)
 	for _, way := range []string{"direct", "routed"} {
 		b.Run(way, func(b *testing.B) {
 			b.RunParallel(func(p *testing.PB) {
 				for p.Next() {
-					drain(b, post(b, w.urls()[way], 1))
+					discardBody(b, post(b, w.urls()[way], 1))
 				}
 			})
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds()/float64(runtime.GOMAXPROCS(0)), "requests/s/core")
@@ -81,26 +81,26 @@
 	}
 }
 
-// BenchmarkToken is one stream of many tokens.
+// BenchmarkToken measures one stream of many tokens.
 func BenchmarkToken(b *testing.B) {
 	const tokens = 1000
-	w := benchWorld(b)
+	w := newBenchTestbed(b)
 	for _, way := range []string{"direct", "routed"} {
 		b.Run(way, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				drain(b, post(b, w.urls()[way], tokens))
+				discardBody(b, post(b, w.urls()[way], tokens))
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/tokens, "µs/token")
 		})
 	}
 }
 
-// BenchmarkOpenStreams is the memory of 1000 streams that are open at once; the
-// stand-in's and the client's are in both ways, so that the difference is the router's.
+// BenchmarkOpenStreams measures the memory of 1000 open streams. Both runs include the
+// memory of the stand-in and the client, so the difference between them is the router's.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 1000
-	w := benchWorld(b)
+	w := newBenchTestbed(b)
 	account := *w.vm.cache.Snapshot().Accounts["baker"]
 	account.Class = config.ClassImmediate
 	w.put(&account)
@@ -108,25 +108,25 @@
 	for _, way := range []string{"direct", "routed"} {
 		b.Run(way, func(b *testing.B) {
 			for b.Loop() {
-				before := inUse()
+				before := memoryInUse()
 				open := make([]*http.Response, streams)
 				var opening sync.WaitGroup
 				for i := range open {
 					opening.Go(func() { open[i] = post(b, w.urls()[way], 1000) })
 				}
 				opening.Wait()
-				b.ReportMetric(float64(inUse()-before)/streams/1024, "KB/stream")
+				b.ReportMetric(float64(memoryInUse()-before)/streams/1024, "KB/stream")
 				for _, resp := range open {
 					_ = resp.Body.Close()
 				}
-				until(b, func() bool { return w.vm.entry.Running() == 0 })
+				eventually(b, func() bool { return w.vm.entry.Running() == 0 })
 			}
 		})
 	}
 }
 
-// inUse is the memory of heap and stacks in use, in bytes.
-func inUse() int64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/router/vm/claims.go
+++ b/router/vm/claims.go
@@ -9,7 +9,7 @@
 	"goldcrestfork/router/entry"
 )
 
-// claims is the ledger's claims as the entry asks for them.
+// claims adapts the ledger's claims to entry.Claims.
 type claims struct{ ledger *ledger.Claims }
 
 // Begin implements entry.Claims.
@@ -23,11 +23,11 @@
 	case start.Ticket != nil:
 		return entry.Claim{State: entry.ClaimMine, Handle: start.Ticket}, nil
 	}
-	return repeated(start.Repeat), nil
+	return repeatedClaim(start.Repeat), nil
 }
 
-// repeated tells a repeat what became of the request that holds its key.
-func repeated(r *ledger.Claim) entry.Claim {
+// repeatedClaim converts the claim of an earlier request with the same key.
+func repeatedClaim(r *ledger.Claim) entry.Claim {
 	switch r.State {
 	case ledger.StateDone:
 		return entry.Claim{State: entry.ClaimDone, Answer: r.Answer}
@@ -37,14 +37,14 @@
 	return entry.Claim{State: entry.ClaimUnknown}
 }
 
-// Finish implements entry.Claims. An outcome that can't be recorded now is kept
-// by the ledger and recorded later, so that its error is nobody's to handle here.
+// Finish implements entry.Claims. The ledger keeps an outcome that it can't record now
+// and retries it, so the error needs no handling here.
 func (c claims) Finish(ctx context.Context, claim entry.Claim, answer []byte) {
 	out := ledger.Outcome{Known: answer != nil, Status: http.StatusOK, Answer: answer}
 	_ = c.ledger.Finish(ctx, claim.Handle.(*ledger.Ticket), out)
 }
 
-// CloseNotRun implements entry.Claims; errors are as Finish's.
+// CloseNotRun implements entry.Claims. Errors are ignored for the same reason as in Finish.
 func (c claims) CloseNotRun(ctx context.Context, claim entry.Claim) {
 	_ = c.ledger.CloseNotRun(ctx, claim.Handle.(*ledger.Ticket))
 }
--- a/router/vm/fleet.go
+++ b/router/vm/fleet.go
@@ -17,19 +17,19 @@
 	"goldcrestfork/router/entry"
 )
 
-// methodLedger carries an operation to the VM that gathers for its shard.
+// methodLedger sends a ledger operation to the VM that batches the writes of its shard.
 const methodLedger = "ledger.do"
 
-// fleet is the other VMs as this one sees them.
+// fleet is this VM's view of the other VMs.
 type fleet struct {
 	link    *peer.Link
 	members *member.Service
 	self    string
-	// revision is the configuration revision in force here.
+	// revision returns the configuration revision in force on this VM.
 	revision func() int64
 }
 
-// newFleet opens the peer link and starts to listen to heartbeats.
+// newFleet opens the peer link and starts to receive heartbeats.
 func (v *VM) newFleet(callers string) (*fleet, error) {
 	s := v.settings
 	credentials, err := peer.LoadCredentials(s.Peers.CA, s.Peers.Certificate, s.Peers.Key)
@@ -53,16 +53,17 @@
 	return &fleet{link: link, members: members, self: s.VM}, nil
 }
 
-// live are the other VMs that are thought to live, those that leave included.
-func (f *fleet) live() []member.Member {
+// liveOthers returns the other VMs in state alive or suspect, including those that are leaving.
+func (f *fleet) liveOthers() []member.Member {
 	return slices.DeleteFunc(f.members.Members(time.Now()), func(m member.Member) bool {
 		return m.State != member.Alive && m.State != member.Suspect
 	})
 }
 
-// Call calls another VM by its name.
+// Call calls a method of another VM by the VM's name. It returns peer.ErrNotSent for an
+// unknown VM.
 func (f *fleet) Call(ctx context.Context, vm, method string, body []byte) ([]byte, error) {
-	for _, m := range f.live() {
+	for _, m := range f.liveOthers() {
 		if m.ID == vm {
 			return f.link.Call(ctx, peer.Target{ID: vm, Address: m.Address}, method, body)
 		}
@@ -72,7 +73,7 @@
 
 // Others implements exchange.Fleet.
 func (f *fleet) Others() []exchange.VM {
-	live := f.live()
+	live := f.liveOthers()
 	out := make([]exchange.VM, len(live))
 	for i, m := range live {
 		out[i] = exchange.VM{ID: m.ID, DataCentre: m.DataCentre, Revision: m.Revision}
@@ -80,7 +81,8 @@
 	return out
 }
 
-// VMs implements operator.Fleet: also those that are down, which operators must see.
+// VMs implements operator.Fleet. The list includes VMs that are down, since operators must
+// see them.
 func (f *fleet) VMs() []string {
 	out := []string{f.self}
 	for _, m := range f.members.Members(time.Now()) {
@@ -94,24 +96,25 @@
 // Revisions implements operator.Fleet.
 func (f *fleet) Revisions() map[string]int64 {
 	out := map[string]int64{f.self: f.revision()}
-	for _, m := range f.live() {
+	for _, m := range f.liveOthers() {
 		out[m.ID] = m.Revision
 	}
 	return out
 }
 
-// ids names the live VMs, this one included, sorted.
-func (f *fleet) ids() []string {
+// liveIDs returns the sorted names of the live VMs, this one included.
+func (f *fleet) liveIDs() []string {
 	out := []string{f.self}
-	for _, m := range f.live() {
+	for _, m := range f.liveOthers() {
 		out = append(out, m.ID)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// perDataCentre counts the VMs that the fleet has in each data centre.
-func (f *fleet) perDataCentre() map[string]int {
+// countPerDataCentre returns the number of VMs in each data centre, including those that
+// are down.
+func (f *fleet) countPerDataCentre() map[string]int {
 	out := map[string]int{f.members.Self().DataCentre: 1}
 	for _, m := range f.members.Members(time.Now()) {
 		if m.State != member.Left {
@@ -123,7 +126,7 @@
 
 // Owner implements ledger.Forwarder.
 func (f *fleet) Owner(shard int) (string, bool) {
-	owner := rendezvous.Best(fmt.Sprintf("ledger/%d", shard), f.ids())
+	owner := rendezvous.Best(fmt.Sprintf("ledger/%d", shard), f.liveIDs())
 	return owner, owner == f.self
 }
 
@@ -132,9 +135,10 @@
 	return f.Call(ctx, vm, methodLedger, body)
 }
 
-// living implements ledger.Living.
-func (f *fleet) living(vm string, incarnation uint64) bool {
-	for _, m := range f.live() {
+// isLive implements ledger.Living: it reports whether the VM still runs as the given
+// incarnation.
+func (f *fleet) isLive(vm string, incarnation uint64) bool {
+	for _, m := range f.liveOthers() {
 		if m.ID == vm {
 			return m.Incarnation == incarnation
 		}
@@ -142,45 +146,45 @@
 	return false
 }
 
-// answers says which VMs callers should use.
-type answers struct{ v *VM }
+// addresses chooses the VMs that callers should use.
+type addresses struct{ v *VM }
 
 // Addresses implements entry.Addresses.
-func (a answers) Addresses(account, dataCentre string) ([]entry.Address, time.Duration) {
+func (a addresses) Addresses(account, dataCentre string) ([]entry.Address, time.Duration) {
 	v := a.v
 	self := v.fleet.members.Self()
-	view := address.View{Out: outOf(v.cache.Snapshot())}
+	view := address.View{Out: dataCentreOut(v.cache.Snapshot())}
 	if !self.Draining {
 		view.Candidates = append(view.Candidates, address.Candidate{
 			ID: self.ID, Address: self.CallerAddress, DataCentre: self.DataCentre, Load: self.Load,
 		})
 	}
-	places := map[string]string{self.CallerAddress: self.DataCentre}
-	for _, m := range v.fleet.live() {
-		places[m.CallerAddress] = m.DataCentre
+	dataCentres := map[string]string{self.CallerAddress: self.DataCentre}
+	for _, m := range v.fleet.liveOthers() {
+		dataCentres[m.CallerAddress] = m.DataCentre
 		view.Candidates = append(view.Candidates, address.Candidate{
 			ID: m.ID, Address: m.CallerAddress, DataCentre: m.DataCentre, Load: m.Load,
 			Leaving: m.Leaving, Doubtful: m.State == member.Suspect,
 		})
 	}
-	got := address.Choose(address.Question{Caller: account, DataCentre: dataCentre}, view)
-	out := make([]entry.Address, len(got.Addresses))
-	for i, at := range got.Addresses {
-		out[i] = entry.Address{Address: at, DataCentre: places[at]}
+	chosen := address.Choose(address.Question{Caller: account, DataCentre: dataCentre}, view)
+	out := make([]entry.Address, len(chosen.Addresses))
+	for i, at := range chosen.Addresses {
+		out[i] = entry.Address{Address: at, DataCentre: dataCentres[at]}
 	}
 	return out, time.Duration(v.settings.KeepAddresses)
 }
 
-// outOf tells which data centres operators took out.
-func outOf(s *config.Snapshot) func(string) bool {
+// dataCentreOut returns a predicate for the data centres that operators took out of service.
+func dataCentreOut(s *config.Snapshot) func(string) bool {
 	return func(dataCentre string) bool {
 		dc := s.DataCentres[dataCentre]
 		return dc != nil && dc.State == config.DataCentreOut
 	}
 }
 
-// handlers registers what this VM answers its peers.
-func (v *VM) handlers() {
+// registerHandlers registers the handlers of the methods that other VMs call.
+func (v *VM) registerHandlers() {
 	for method, h := range exchange.Handlers(v.cache) {
 		v.fleet.link.Register(method, peer.Handler(h))
 	}
@@ -190,21 +194,23 @@
 	v.fleet.link.Register(methodBills, func(_ context.Context, _ string, body []byte) ([]byte, error) {
 		return nil, v.bills.Accept(body)
 	})
-	v.fleet.link.Register(methodControl, v.takeControl)
-	v.fleet.link.Register(methodPoison, v.takePoison)
+	v.fleet.link.Register(methodControl, v.handleControl)
+	v.fleet.link.Register(methodPoison, v.handlePoison)
 }
 
-// telling is how often heartbeats and slots are brought up to this VM's state.
-const telling = 200 * time.Millisecond
+// fleetUpdateInterval is the interval at which heartbeats and slots are updated with
+// this VM's state.
+const fleetUpdateInterval = 200 * time.Millisecond
 
-// tell keeps the fleet's view of this VM, and this VM's part of the slots, current.
-func (v *VM) tell(ctx context.Context) {
+// updateFleet keeps the state in this VM's heartbeats current, and reassigns the slots
+// when the set of live VMs changes.
+func (v *VM) updateFleet(ctx context.Context) {
 	var last []string
-	for wait(ctx, telling) {
+	for wait(ctx, fleetUpdateInterval) {
 		v.fleet.members.Update(v.cache.Revision(), v.slots.cold.Epoch(), v.dispatch.Load())
-		if ids := v.fleet.ids(); !slices.Equal(ids, last) {
+		if ids := v.fleet.liveIDs(); !slices.Equal(ids, last) {
 			last = ids
-			v.slots.deal(ids)
+			v.slots.setLive(ids)
 			v.dispatch.Rebalance()
 		}
 	}
--- a/router/vm/harness_test.go
+++ b/router/vm/harness_test.go
@@ -30,9 +30,9 @@
 	"goldcrestfork/standin/store"
 )
 
-// The configuration of the tests: Norte's assistant in two versions of which the
-// baker may use both and the clerk only the first, the shop with a quality target,
-// and the connector.
+// The configuration of the tests has one model in two versions, one service and three
+// accounts: the baker may use both versions, the clerk only the first, and the shop has a
+// quality target.
 const (
 	bakerKey = "baker-key"
 	clerkKey = "clerk-key"
@@ -41,20 +41,20 @@
 	v2       = "asistente-2"
 )
 
-// world is VMs with stand-ins around them.
-type world struct {
-	t        testing.TB
-	store    *store.Store
-	platform string
-	rater    string
-	engines  []*backend.Engine
-	servers  []*httptest.Server
-	plain    *backend.Service
-	rating   *backend.Rating
-	trial    peer.TrialSet
-	// seeds are the peers that VMs started from now on find in their settings.
+// testbed runs VMs with stand-ins for the platform, engines, service and rating service.
+type testbed struct {
+	t               testing.TB
+	store           *store.Store
+	platformAddress string
+	ratingAddress   string
+	engines         []*backend.Engine
+	servers         []*httptest.Server
+	service         *backend.Service
+	rating          *backend.Rating
+	certificates    peer.TrialSet
+	// seeds are the peer addresses in the settings of the VMs that are started next.
 	seeds []string
-	// vm is the first VM, which requests go to where no other is named.
+	// vm is the first VM. Requests go to it unless another VM is given.
 	vm *VM
 }
 
@@ -63,31 +63,32 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newWorld starts a VM before n engines that serve both versions.
-func newWorld(t testing.TB, n int) *world {
+// newTestbed starts a VM and n engines that serve both versions.
+func newTestbed(t testing.TB, n int) *testbed {
 	t.Helper()
-	w := &world{t: t, store: store.New(), plain: backend.NewService(), rating: backend.NewRating()}
+	w := &testbed{t: t, store: store.New(), service: backend.NewService(), rating: backend.NewRating()}
 	trial, err := peer.NewTrialSet(time.Now(), "vm-1", "vm-2", "vm-3")
 	require.NoError(t, err)
-	w.trial = trial
-	w.platform = w.serve(store.Handler(w.store))
-	w.rater = w.serve(w.rating.Handler())
+	w.certificates = trial
+	w.platformAddress = w.serve(store.Handler(w.store))
+	w.ratingAddress = w.serve(w.rating.Handler())
 	w.vm, _ = w.start("vm-1")
 	w.configure(n)
 	return w
 }
 
-// start starts a VM; stop ends it as planned and waits.
-func (w *world) start(name string) (v *VM, stop func()) {
+// start starts a VM. The returned stop performs a planned stop and waits for its end.
+func (w *testbed) start(name string) (v *VM, stop func()) {
 	w.t.Helper()
 	return w.startWith(name, "")
 }
 
-// startWith is start with more settings of the callers' listener; DIR is the certificates'.
-func (w *world) startWith(name, callers string) (v *VM, stop func()) {
+// startWith is start with additional JSON settings of the callers' listener. DIR in them
+// is replaced by the folder of the certificates.
+func (w *testbed) startWith(name, callers string) (v *VM, stop func()) {
 	w.t.Helper()
 	dir := w.t.TempDir()
-	for file, pem := range map[string][]byte{"ca": w.trial.CA, "cert": w.trial.VMs[name].Certificate, "key": w.trial.VMs[name].Key} {
+	for file, pem := range map[string][]byte{"ca": w.certificates.CA, "cert": w.certificates.VMs[name].Certificate, "key": w.certificates.VMs[name].Key} {
 		require.NoError(w.t, os.WriteFile(filepath.Join(dir, file), pem, 0o600))
 	}
 	s, err := settings.Parse("test", fmt.Appendf(nil, `{
@@ -98,7 +99,7 @@
 		"secret": "%[3]s", "operatorKeyHashes": ["%[3]s"],
 		"rating": {"url": "http://%[4]s/rate"},
 		"keepAddresses": "1ms", "spreadLeaving": "1ms",
-	}`, dir, w.platform, hash("secret"), w.rater, name, strings.Join(w.seeds, ","), strings.ReplaceAll(callers, "DIR", dir)))
+	}`, dir, w.platformAddress, hash("secret"), w.ratingAddress, name, strings.Join(w.seeds, ","), strings.ReplaceAll(callers, "DIR", dir)))
 	require.NoError(w.t, err)
 	v, err = newVM(s, zerolog.Nop(), slot.Params{Evidence: 3 * time.Second, Start: 2 * time.Second, Job: time.Minute, Drift: slot.Defaults.Drift})
 	require.NoError(w.t, err)
@@ -113,8 +114,8 @@
 	return v, stop
 }
 
-// serve starts a stand-in and returns its address.
-func (w *world) serve(h http.Handler) string {
+// serve starts a stand-in's HTTP server and returns its address.
+func (w *testbed) serve(h http.Handler) string {
 	s := httptest.NewServer(h)
 	w.servers = append(w.servers, s)
 	w.t.Cleanup(func() {
@@ -124,14 +125,14 @@
 	return s.Listener.Addr().String()
 }
 
-// restart starts an engine anew, cold: connections to it break, as with a new process.
-func (w *world) restart(i int) {
+// restart restarts an engine in cold start and breaks its connections, as a new process would.
+func (w *testbed) restart(i int) {
 	w.engines[i].Restart()
-	// The platform's, the rating's and the service's servers come before the engines'.
+	// The first three servers are those of the platform, the rating service and the service.
 	w.servers[3+i].CloseClientConnections()
 }
 
-func (w *world) configure(n int) {
+func (w *testbed) configure(n int) {
 	labels := func(tier string) map[string]string { return map[string]string{"tier": tier} }
 	objects := []config.Object{
 		&config.DataCentre{Meta: config.Meta{Name: "norte-a"}, Region: "norte", State: config.DataCentreIn},
@@ -139,7 +140,7 @@
 		&config.ModelVersion{Meta: config.Meta{Name: v2, Labels: labels("best")}, Model: "asistente", State: config.VersionServing, Cost: 1000, Quality: 0.9},
 		&config.Service{Meta: config.Meta{Name: "conector", Labels: labels("till")}, Calls: []config.Call{
 			{Method: "GET", Path: "/till/", Idempotent: true}, {Method: "POST", Path: "/refunds"}}},
-		&config.Endpoint{Meta: config.Meta{Name: "conector-1"}, Address: w.serve(w.plain.Handler()), DataCentre: "norte-a", Service: "conector", Slots: 8, ColdSlots: 1, State: config.EndpointServing},
+		&config.Endpoint{Meta: config.Meta{Name: "conector-1"}, Address: w.serve(w.service.Handler()), DataCentre: "norte-a", Service: "conector", Slots: 8, ColdSlots: 1, State: config.EndpointServing},
 		&config.ClientAccount{Meta: config.Meta{Name: "baker"}, KeyHashes: []string{hash(bakerKey)}, Class: config.ClassInteractive,
 			Versions: config.Selector{"tier": {"base", "best"}}, Services: config.Selector{"tier": {"till"}}},
 		&config.ClientAccount{Meta: config.Meta{Name: "shop"}, KeyHashes: []string{hash(shopKey)}, Class: config.ClassDeferrable,
@@ -156,8 +157,8 @@
 	w.put(objects...)
 }
 
-// put changes the configuration and waits until it is in force here.
-func (w *world) put(objects ...config.Object) {
+// put changes the configuration and waits until the change is in force on the first VM.
+func (w *testbed) put(objects ...config.Object) {
 	w.t.Helper()
 	var changes []config.Change
 	for _, o := range objects {
@@ -165,34 +166,35 @@
 	}
 	revision, _, err := w.vm.editor.Apply(w.t.Context(), changes)
 	require.NoError(w.t, err)
-	w.inForce(w.vm, revision)
+	w.waitInForce(w.vm, revision)
 }
 
-// inForce waits until a VM works under a revision.
-func (w *world) inForce(v *VM, revision int64) {
+// waitInForce waits until a VM uses a revision.
+func (w *testbed) waitInForce(v *VM, revision int64) {
 	w.t.Helper()
 	s, err := v.cache.WaitRevision(w.t.Context(), revision)
 	require.NoError(w.t, err)
 	v.dispatch.Configure(s)
-	// A VM that just started takes work once the platform has shown that nothing newer exists.
-	until(w.t, func() bool { return v.cache.Staleness(time.Now()).TakesWork() })
+	// A VM that just started takes work once the platform has confirmed its configuration
+	// as the newest.
+	eventually(w.t, func() bool { return v.cache.Staleness(time.Now()).TakesWork() })
 }
 
-// reply is what a caller receives.
+// reply is the complete answer to a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// send makes one request as a caller does.
-func (w *world) send(method, path, key string, header map[string]string, body string) reply {
+// send sends one request to the first VM and reads the answer.
+func (w *testbed) send(method, path, key string, header map[string]string, body string) reply {
 	w.t.Helper()
 	return w.sendTo(w.vm, method, path, key, header, body)
 }
 
-// open begins a request and returns its response as it comes.
-func (w *world) open(ctx context.Context, v *VM, method, path, key string, header map[string]string, body string) *http.Response {
+// sendOpen sends a request and returns the response with its body unread.
+func (w *testbed) sendOpen(ctx context.Context, v *VM, method, path, key string, header map[string]string, body string) *http.Response {
 	w.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.CallersAddress()+path, strings.NewReader(body))
 	require.NoError(w.t, err)
@@ -205,22 +207,22 @@
 	return resp
 }
 
-func (w *world) sendTo(v *VM, method, path, key string, header map[string]string, body string) reply {
+func (w *testbed) sendTo(v *VM, method, path, key string, header map[string]string, body string) reply {
 	w.t.Helper()
-	resp := w.open(w.t.Context(), v, method, path, key, header, body)
+	resp := w.sendOpen(w.t.Context(), v, method, path, key, header, body)
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	require.NoError(w.t, err)
 	return reply{resp.StatusCode, resp.Header, string(b)}
 }
 
-// ask sends a completion for n tokens.
-func (w *world) ask(key, model, prompt string, n int, stream bool, header map[string]string) reply {
+// chat sends a chat completion for n tokens to the first VM.
+func (w *testbed) chat(key, model, prompt string, n int, stream bool, header map[string]string) reply {
 	w.t.Helper()
-	return w.askAt(w.vm, key, model, prompt, n, stream, header)
+	return w.chatAt(w.vm, key, model, prompt, n, stream, header)
 }
 
-func (w *world) askAt(v *VM, key, model, prompt string, n int, stream bool, header map[string]string) reply {
+func (w *testbed) chatAt(v *VM, key, model, prompt string, n int, stream bool, header map[string]string) reply {
 	w.t.Helper()
 	return w.sendTo(v, http.MethodPost, chatPath, key, header, chatBody(w.t, model, prompt, n, stream))
 }
@@ -237,7 +239,7 @@
 	return string(body)
 }
 
-// problem reads a refusal.
+// problem decodes a refusal.
 func (r reply) problem(t *testing.T) (p struct {
 	Code refusal.Code
 	Ran  refusal.Ran
@@ -247,8 +249,9 @@
 	return p
 }
 
-// text reads a document or a stream; whole says that it had its end mark.
-func (r reply) text(t *testing.T) (text string, whole bool) {
+// text returns the text of a document or a stream. The result complete reports whether
+// the end marker was there.
+func (r reply) text(t *testing.T) (text string, complete bool) {
 	t.Helper()
 	if !strings.HasPrefix(r.header.Get("Content-Type"), "text/event-stream") {
 		var doc struct {
@@ -278,7 +281,7 @@
 	return text, false
 }
 
-// closedAddress is an address where nobody listens.
+// closedAddress returns an address without a listener.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/router/vm/operatorapi.go
+++ b/router/vm/operatorapi.go
@@ -9,7 +9,7 @@
 	"goldcrestfork/router/operator"
 )
 
-// operatorAPI is the API by which operators read and change the configuration.
+// operatorAPI returns the API through which operators read and change the configuration.
 func (v *VM) operatorAPI() http.Handler {
 	return operator.New(operator.Options{
 		Configuration: v.cache,
@@ -21,10 +21,10 @@
 	})
 }
 
-// billReader reads bills for operators.
+// billReader adapts bill.Reader to operator.Bills.
 type billReader struct{ reader *bill.Reader }
 
-// Bills implements operator.Bills.
+// Bills implements operator.Bills. An empty account selects all accounts.
 func (b billReader) Bills(ctx context.Context, account string, day time.Time) ([]operator.Bill, error) {
 	sums, err := b.reader.Day(ctx, day)
 	if err != nil {
--- a/router/vm/operatorapi_test.go
+++ b/router/vm/operatorapi_test.go
@@ -12,10 +12,10 @@
 	"goldcrestfork/router/operator/client"
 )
 
-// An operator withdraws a version over the VM's API. When the answer is there,
-// the version is withdrawn in the configuration that requests are judged by.
-func TestOperatorsDriveTheVM(t *testing.T) {
-	w := newWorld(t, 1)
+// A change through a VM's operator API must be in force on that VM when the answer arrives,
+// and a caller's key must not be accepted as an operator's.
+func TestWithdrawThroughOperatorAPI(t *testing.T) {
+	w := newTestbed(t, 1)
 	c := client.Client{VMs: []string{"http://" + w.vm.OperatorsAddress()}, Key: "secret", HTTP: http.DefaultClient}
 	a, err := c.Do(t.Context(), client.Change{Method: http.MethodPost, Path: "/v1/model-version/" + v2 + "/withdraw"})
 	require.NoError(t, err)
--- a/router/vm/operators.go
+++ b/router/vm/operators.go
@@ -18,7 +18,7 @@
 	"goldcrestfork/router/dispatch"
 )
 
-// operatorsHandler serves probes, metrics and the state dump.
+// operatorsHandler serves the probes, the metrics, the state dump and the operator API.
 func (v *VM) operatorsHandler() http.Handler {
 	mux := flow.New()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { writeText(w, http.StatusOK, "alive\n") }, http.MethodGet)
@@ -29,7 +29,8 @@
 	return mux
 }
 
-// ready tells whether this VM takes new work; being alive is another question.
+// ready reports whether this VM takes new work. The probe /healthz reports only that the
+// process runs.
 func (v *VM) ready(w http.ResponseWriter, _ *http.Request) {
 	d := v.cache.Staleness(time.Now())
 	if !d.TakesWork() || v.cache.Revision() == 0 {
@@ -39,7 +40,7 @@
 	writeText(w, http.StatusOK, "ready\n")
 }
 
-// State is the state dump: why requests go where they go.
+// State is the body of the state dump: the state that routing decisions depend on.
 type State struct {
 	VM            string        `json:"vm"`
 	DataCentre    string        `json:"dataCentre"`
@@ -59,7 +60,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	// An operator that has gone is no error of ours.
+	// An operator that closed the connection is no error of this VM.
 	_ = e.Encode(State{
 		VM:            v.settings.VM,
 		DataCentre:    v.settings.DataCentre,
--- a/router/vm/orders.go
+++ b/router/vm/orders.go
@@ -13,14 +13,15 @@
 	"goldcrestfork/control/orders"
 )
 
-// maxOrder bounds an endpoint's report, in bytes.
-const maxOrder = 64 << 10
+// maxReportBytes bounds the body of an endpoint's report.
+const maxReportBytes = 64 << 10
 
-// ordered reaches the endpoints' order API: POST /order obeys or, with 409, refuses
-// an old fencing number; GET /order reports.
-type ordered struct{}
+// orderClient calls the order API of the endpoints. POST /order carries an order, which
+// the endpoint follows or, if the fencing number is old, refuses with status 409.
+// GET /order returns a report.
+type orderClient struct{}
 
-// order is an order and a report on the wire.
+// order is the JSON body of an order and of a report.
 type order struct {
 	Fence       int64    `json:"fence"`
 	Versions    []string `json:"versions"`
@@ -28,8 +29,8 @@
 	Incarnation int64    `json:"incarnation,omitempty"`
 }
 
-// Order implements orders.Endpoints.
-func (o ordered) Order(ctx context.Context, e *config.Endpoint, want orders.Order) error {
+// Order implements orders.Endpoints. It returns orders.ErrFenced for an old fencing number.
+func (o orderClient) Order(ctx context.Context, e *config.Endpoint, want orders.Order) error {
 	body, err := json.Marshal(order{Fence: want.Fence, Versions: want.Versions, Role: want.Role})
 	if err != nil {
 		return err
@@ -47,7 +48,7 @@
 }
 
 // Report implements orders.Endpoints.
-func (o ordered) Report(ctx context.Context, e *config.Endpoint) (orders.Report, error) {
+func (o orderClient) Report(ctx context.Context, e *config.Endpoint) (orders.Report, error) {
 	status, body, err := o.call(ctx, http.MethodGet, e, nil)
 	if err != nil {
 		return orders.Report{}, err
@@ -63,7 +64,7 @@
 	return orders.Report{Placement: orders.Placement{Versions: r.Versions, Role: r.Role}, Incarnation: r.Incarnation}, nil
 }
 
-func (ordered) call(ctx context.Context, method string, e *config.Endpoint, body []byte) (int, []byte, error) {
+func (orderClient) call(ctx context.Context, method string, e *config.Endpoint, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.Address+"/order", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -73,6 +74,6 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOrder))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	return resp.StatusCode, data, err
 }
--- a/router/vm/poll.go
+++ b/router/vm/poll.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// pollEvery is how often an endpoint in cold start is asked for its state. Grounds:
-	// cold starts take seconds (weights are loaded), and half a second adds little to that.
-	pollEvery = 500 * time.Millisecond
-	// pollAtOnce bounds the questions under way when a whole pool starts anew.
-	pollAtOnce = 16
+	// pollInterval is the interval at which an endpoint in cold start is polled for its
+	// state. Cold starts take seconds to load the weights; half a second adds little.
+	pollInterval = 500 * time.Millisecond
+	// pollConcurrency bounds the concurrent polls when a whole pool restarts.
+	pollConcurrency = 16
 )
 
-// pollCold asks endpoints in cold start whether they are warm, until ctx ends.
+// pollCold polls the endpoints in cold start for their state until ctx ends.
 func (v *VM) pollCold(ctx context.Context) {
-	for wait(ctx, pollEvery) {
+	for wait(ctx, pollInterval) {
 		var g errgroup.Group
-		g.SetLimit(pollAtOnce)
+		g.SetLimit(pollConcurrency)
 		for _, p := range v.dispatch.Cold() {
 			g.Go(func() error {
-				v.ask(ctx, p)
+				v.pollEndpoint(ctx, p)
 				return nil
 			})
 		}
@@ -32,10 +32,10 @@
 	}
 }
 
-func (v *VM) ask(ctx context.Context, p dispatch.Place) {
+func (v *VM) pollEndpoint(ctx context.Context, p dispatch.Place) {
 	r, err := v.engines.State(ctx, p.Address)
 	if err != nil {
-		// The next round asks again.
+		// The next round polls the endpoint again.
 		v.dispatch.Unreachable(p.Endpoint)
 		return
 	}
--- a/router/vm/rater.go
+++ b/router/vm/rater.go
@@ -11,13 +11,13 @@
 	"goldcrestfork/router/entry"
 )
 
-// maxRating bounds the rating service's answer, in bytes.
-const maxRating = 4 << 10
+// maxRatingBytes bounds the rating service's answer.
+const maxRatingBytes = 4 << 10
 
-// rater asks the rating service.
+// rater calls the rating service at a URL.
 type rater struct{ url string }
 
-// newRater returns nil without a service.
+// newRater returns nil if no rating service is configured.
 func newRater(url string) entry.Rater {
 	if url == "" {
 		return nil
@@ -25,7 +25,7 @@
 	return rater{url}
 }
 
-// Rate implements entry.Rater.
+// Rate implements entry.Rater. Any rating outside 0 to 1 is an error.
 func (g rater) Rate(ctx context.Context, q entry.Rating) (float64, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -47,7 +47,7 @@
 	var r struct {
 		Rating *float64 `json:"rating"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxRating)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxRatingBytes)).Decode(&r); err != nil {
 		return 0, err
 	}
 	if r.Rating == nil || *r.Rating < 0 || *r.Rating > 1 {
--- a/router/vm/register.go
+++ b/router/vm/register.go
@@ -10,27 +10,28 @@
 	"goldcrestfork/durable/httpstore"
 )
 
-// registerEvery is how often the entry is renewed: a stand-in that lost it has it back soon.
-const registerEvery = 5 * time.Second
+// registerInterval is the interval at which the entry is renewed, so that a stand-in
+// that restarted without its list has the VM again after at most this time.
+const registerInterval = 5 * time.Second
 
-// register enters this VM into the list of the platform's stand-in, where the
-// settings ask for it. The real platform knows its VMs by itself.
+// register adds this VM to the VM list of the platform's stand-in if the settings ask
+// for it, and removes it when ctx ends. The real platform knows its VMs.
 func (v *VM) register(ctx context.Context) {
 	if !v.settings.Platform.Register {
 		return
 	}
-	for ok := true; ok; ok = wait(ctx, registerEvery) {
-		v.registered(ctx, http.MethodPut)
+	for ok := true; ok; ok = wait(ctx, registerInterval) {
+		v.sendRegistration(ctx, http.MethodPut)
 	}
-	// The process goes; so does its entry.
+	// ctx has ended here; the removal of the entry needs its own.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	v.registered(ctx, http.MethodDelete)
+	v.sendRegistration(ctx, http.MethodDelete)
 }
 
-func (v *VM) registered(ctx context.Context, method string) {
+func (v *VM) sendRegistration(ctx context.Context, method string) {
 	self := v.fleet.members.Self()
-	// Strings always encode.
+	// A struct of strings always encodes.
 	body, _ := json.Marshal(httpstore.VM{ID: self.ID, Address: self.Address, DataCentre: self.DataCentre})
 	req, err := http.NewRequestWithContext(ctx, method, v.settings.Platform.URL+"/vms/"+self.ID, bytes.NewReader(body))
 	if err != nil {
--- a/router/vm/slots.go
+++ b/router/vm/slots.go
@@ -11,32 +11,33 @@
 	"goldcrestfork/router/dispatch"
 )
 
-// slots is this VM's part of the endpoints' slots: warm ones by rank among the live
-// VMs, cold ones exactly, by package slot.
+// slots computes this VM's part of the endpoints' slots. Warm slots are assigned by rank
+// among the live VMs, without coordination; cold slots exactly, by package slot.
 type slots struct {
 	self   string
-	bounds slot.Params
+	params slot.Params
 	cold   *slot.Service
-	// live names the VMs that slots are dealt to, this one included.
+	// live holds the names of the VMs that slots are assigned to, this one included.
 	live atomic.Pointer[[]string]
 }
 
-// deal sets the VMs that slots are dealt to from now on.
-func (s *slots) deal(ids []string) { s.live.Store(&ids) }
+// setLive sets the VMs that slots are assigned to.
+func (s *slots) setLive(ids []string) { s.live.Store(&ids) }
 
-// Share implements dispatch.Slots. Warm slots are a matter of load, not of a
-// promise: while views of the fleet differ a slot may be used twice or not at all.
+// Share implements dispatch.Slots. Warm slots limit load only approximately: while VMs
+// differ in their view of the fleet, a slot may be used twice or not at all.
 func (s *slots) Share(endpoint string, n int) int {
 	ids := *s.live.Load()
-	share, rest := n/len(ids), n%len(ids)
-	if rest > 0 && s.rank(endpoint, ids) < rest {
+	share, remainder := n/len(ids), n%len(ids)
+	if remainder > 0 && s.rank(endpoint, ids) < remainder {
 		share++
 	}
 	return share
 }
 
-// rank is this VM's place for an endpoint. Counting those before it spares the sort:
-// a change of the fleet asks for all 2,000 endpoints' places among 400 VMs.
+// rank returns the number of VMs that rank before this one for an endpoint. Counting
+// avoids a sort: each change of the fleet computes the ranks for all 2,000 endpoints
+// among 400 VMs.
 func (s *slots) rank(endpoint string, ids []string) int {
 	own, before := rendezvous.Weight(endpoint, s.self), 0
 	for _, id := range ids {
@@ -47,36 +48,36 @@
 	return before
 }
 
-// TakeCold implements dispatch.Slots.
+// TakeCold implements dispatch.Slots. The second result is false if no cold slot was acquired.
 func (s *slots) TakeCold(ctx context.Context, endpoint string, n int) (dispatch.ColdSlot, bool) {
 	grant, ok, _ := s.cold.Acquire(ctx, endpoint, n)
 	if !ok {
 		return nil, false
 	}
-	return &coldSlot{service: s.cold, grant: grant, rest: s.bounds.Start + s.bounds.Job}, true
+	return &coldSlot{service: s.cold, grant: grant, releaseDelay: s.params.Start + s.params.Job}, true
 }
 
-// coldSlot is one cold slot in use.
+// coldSlot is one cold slot in use. Its release is idempotent.
 type coldSlot struct {
 	service *slot.Service
 	grant   slot.Grant
-	// rest is how long a request that was cut off may go on at the endpoint.
-	rest time.Duration
-	once sync.Once
+	// releaseDelay is how long a request may go on at the endpoint after it was cut off.
+	releaseDelay time.Duration
+	once         sync.Once
 }
 
 // MayStart implements dispatch.ColdSlot.
 func (c *coldSlot) MayStart() bool { return c.grant.MayStart(time.Now()) }
 
 // Release implements dispatch.ColdSlot. A request that was cut off may go on at the
-// endpoint until the time limit it was given; freed at once, its slot would put one
-// request too many on an endpoint that bears no more.
+// endpoint until its time limit. Its slot is released only then, since an immediate
+// release would allow one request more than the endpoint can run.
 func (c *coldSlot) Release(ended bool) {
 	c.once.Do(func() {
 		if ended {
 			c.service.Release(c.grant)
 			return
 		}
-		time.AfterFunc(c.rest, func() { c.service.Release(c.grant) })
+		time.AfterFunc(c.releaseDelay, func() { c.service.Release(c.grant) })
 	})
 }
--- a/router/vm/slots_test.go
+++ b/router/vm/slots_test.go
@@ -15,14 +15,14 @@
 	return ids
 }
 
-// VMs with one view of the fleet must deal all of an endpoint's slots, and each once.
-func TestSharesAddUp(t *testing.T) {
+// VMs with the same view of the fleet must assign each slot of an endpoint exactly once.
+func TestSlotSharesSumToAllSlots(t *testing.T) {
 	for _, n := range []int{1, 2, 7, 40} {
 		ids := vmNames(n)
 		for _, slots := range []int{1, 8, 16, 100} {
 			sum, least, most := 0, slots, 0
 			for _, id := range ids {
-				s := sharesOf(id, ids).Share("runner-1", slots)
+				s := newWarmSlots(id, ids).Share("runner-1", slots)
 				sum, least, most = sum+s, min(least, s), max(most, s)
 			}
 			require.Equal(t, slots, sum)
@@ -31,17 +31,18 @@
 	}
 }
 
-func sharesOf(self string, ids []string) *slots {
+func newWarmSlots(self string, ids []string) *slots {
 	s := &slots{self: self}
-	s.deal(ids)
+	s.setLive(ids)
 	return s
 }
 
-// BenchmarkShare is one endpoint's share; a change of the fleet asks for each endpoint's.
+// BenchmarkShare measures one endpoint's share. A change of the fleet computes it for
+// every endpoint.
 func BenchmarkShare(b *testing.B) {
 	for _, n := range []int{7, 28, 112, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := sharesOf("vm-003", vmNames(n))
+			s := newWarmSlots("vm-003", vmNames(n))
 			b.ReportAllocs()
 			for b.Loop() {
 				s.Share("runner-1", 8)
--- a/router/vm/upkeep.go
+++ b/router/vm/upkeep.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// trimEvery and trimAfter free the tables of shards that this VM has not used for
-	// a while, as after another VM took the shard over; any VM reads them again.
-	trimEvery = time.Minute
-	trimAfter = 10 * time.Minute
-	// sweepEvery is how often one VM looks for segments that no head names: they cost
-	// space alone, and a look lists all of them.
-	sweepEvery = time.Hour
+	// trimInterval and trimAge control when the tables of shards that this VM has not
+	// used lately are freed, for example after another VM took a shard over. A VM that
+	// needs a freed table reads it again.
+	trimInterval = time.Minute
+	trimAge      = 10 * time.Minute
+	// sweepInterval is the interval at which one VM deletes ledger segments that no
+	// head refers to. They only cost space, and finding them lists all segments.
+	sweepInterval = time.Hour
 )
 
-// upkeep frees what the ledger needs no more, here and in the store.
-func (v *VM) upkeep(ctx context.Context) {
-	swept := time.Now()
-	for wait(ctx, trimEvery) {
-		v.ledger.Trim(time.Now().Add(-trimAfter))
-		if time.Since(swept) < sweepEvery {
+// maintainLedger frees unused ledger data in this VM's memory and in the store.
+func (v *VM) maintainLedger(ctx context.Context) {
+	lastSweep := time.Now()
+	for wait(ctx, trimInterval) {
+		v.ledger.Trim(time.Now().Add(-trimAge))
+		if time.Since(lastSweep) < sweepInterval {
 			continue
 		}
-		swept = time.Now()
-		if rendezvous.Best("ledger-sweep", v.fleet.ids()) == v.settings.VM {
-			// What a failed sweep leaves, the next one finds.
+		lastSweep = time.Now()
+		if rendezvous.Best("ledger-sweep", v.fleet.liveIDs()) == v.settings.VM {
+			// The next sweep finds what a failed one leaves.
 			_, _ = v.ledger.Sweep(ctx)
 		}
 	}
--- a/router/vm/vm.go
+++ b/router/vm/vm.go
@@ -1,8 +1,8 @@
-// Package vm is one entry VM of goldcrestfork as a library: it wires the
-// configuration, the decisions, the ledger and the fleet to the callers' and the
-// operators' listeners. cmd/goldcrestd is a thin shell over it.
+// Package vm implements one entry VM of goldcrestfork as a library. It connects the
+// configuration, the routing decisions, the ledger and the fleet to the listeners for
+// callers and operators. The command cmd/goldcrestd is a thin wrapper around it.
 //
-// Lock order: the package has no locks of its own.
+// Lock order: headWatcher.mu is a leaf; the package has no other mutex.
 package vm
 
 import (
@@ -37,60 +37,61 @@
 )
 
 const (
-	// headerTimeout bounds the time a caller takes to send its headers, and idleTimeout
-	// a kept connection's rest: slow senders must not hold a VM's memory.
+	// headerTimeout bounds the time in which a caller sends its headers, and idleTimeout
+	// the time for which an idle connection is kept, so that slow senders and unused
+	// connections don't hold memory.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeader bounds a request's headers, in bytes.
-	maxHeader = 64 << 10
-	// drainTick is how often a planned stop looks whether the last request has ended.
-	drainTick = 50 * time.Millisecond
+	// maxHeaderBytes bounds the size of a request's headers.
+	maxHeaderBytes = 64 << 10
+	// drainPollInterval is the interval at which a planned stop checks for running requests.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// VM is one entry VM.
+// VM is one entry VM. New creates it and Run serves until its context ends.
 type VM struct {
-	settings *settings.Settings
-	log      zerolog.Logger
-	registry *prometheus.Registry
-	store    *httpstore.Client
-	cache    *config.Cache
-	editor   *config.Editor
-	dispatch *dispatch.Dispatcher
-	entry    *entry.Entry
-	engines  *engine.Client
-	ledger   *ledger.Ledger
-	claims   *ledger.Claims
-	bills    *bill.Spool
-	recorder *rollout.Recorder
-	fleet    *fleet
-	slots    *slots
-	bounds   slot.Params
-	loops    *loops.Loops
-	brakes   *rollout.Brakes
-	heads    *heads
-	// incarnation tells this start from an earlier one of the same VM.
+	settings   *settings.Settings
+	log        zerolog.Logger
+	registry   *prometheus.Registry
+	store      *httpstore.Client
+	cache      *config.Cache
+	editor     *config.Editor
+	dispatch   *dispatch.Dispatcher
+	entry      *entry.Entry
+	engines    *engine.Client
+	ledger     *ledger.Ledger
+	claims     *ledger.Claims
+	bills      *bill.Spool
+	recorder   *rollout.Recorder
+	fleet      *fleet
+	slots      *slots
+	slotParams slot.Params
+	loops      *loops.Loops
+	brakes     *rollout.Brakes
+	heads      *headWatcher
+	// incarnation distinguishes this run of the process from other runs of the same VM.
 	incarnation uint64
 
 	callers   net.Listener
 	operators net.Listener
 }
 
-// New opens the listeners and wires a VM; Run serves.
+// New opens the listeners and connects the parts of a VM. Run starts serving.
 func New(s *settings.Settings, log zerolog.Logger) (*VM, error) {
 	return newVM(s, log, slot.Defaults)
 }
 
-// newVM is New with bounds of the cold slots that tests can shorten.
-func newVM(s *settings.Settings, log zerolog.Logger, bounds slot.Params) (*VM, error) {
+// newVM is New with parameters of the cold slots, which tests shorten.
+func newVM(s *settings.Settings, log zerolog.Logger, params slot.Params) (*VM, error) {
 	v := &VM{
-		bounds:   bounds,
-		settings: s,
-		log:      log.With().Str("vm", s.VM).Logger(),
-		registry: prometheus.NewRegistry(),
-		store:    httpstore.New(s.Platform.URL),
+		slotParams: params,
+		settings:   s,
+		log:        log.With().Str("vm", s.VM).Logger(),
+		registry:   prometheus.NewRegistry(),
+		store:      httpstore.New(s.Platform.URL),
 
-		// The clock's word is only for the process's name; a clock that went back is mended
-		// by membership.
+		// The time only names this run of the process. If the clock went back, fleet
+		// membership corrects the incarnation.
 		incarnation: uint64(time.Now().UnixNano()),
 	}
 	if err := v.listen(); err != nil {
@@ -104,7 +105,7 @@
 	return v, nil
 }
 
-// listen opens all listeners, so that a port in use is known before anything starts.
+// listen opens all listeners, so that a port in use fails the start before any loop runs.
 func (v *VM) listen() error {
 	var err error
 	if v.callers, err = net.Listen("tcp", v.settings.Callers.Address); err != nil {
@@ -121,7 +122,7 @@
 	return trace.Wrap(err)
 }
 
-// close ends the listeners that are open.
+// close closes the listeners that are open.
 func (v *VM) close() {
 	for _, l := range []net.Listener{v.callers, v.operators} {
 		if l != nil {
@@ -139,9 +140,9 @@
 	if err != nil {
 		return err
 	}
-	weights, learning := picker.WeightsCost, cascade.DefaultSettings()
+	weights, cascadeSettings := picker.WeightsCost, cascade.DefaultSettings()
 	if v.settings.Prefer == "latency" {
-		weights, learning = picker.WeightsLatency, cascade.LatencySettings()
+		weights, cascadeSettings = picker.WeightsLatency, cascade.LatencySettings()
 	}
 	peers := exchange.New(exchange.Options{
 		Self: v.settings.VM, DataCentre: v.settings.DataCentre,
@@ -149,20 +150,20 @@
 	})
 	v.cache = config.NewCache(config.Options{
 		Store: v.store, Peers: peers, Contacts: peers, DataCentre: v.settings.DataCentre,
-		VMs: v.fleet.perDataCentre, Metrics: config.NewMetrics(v.registry), Log: v.log,
+		VMs: v.fleet.countPerDataCentre, Metrics: config.NewMetrics(v.registry), Log: v.log,
 	})
 	v.fleet.revision = v.cache.Revision
 	v.editor = config.NewEditor(v.store, v.cache)
-	v.recorder = rollout.NewRecorder(process(v.settings.VM, v.incarnation))
+	v.recorder = rollout.NewRecorder(processID(v.settings.VM, v.incarnation))
 	v.brakes = &rollout.Brakes{}
-	v.heads = newHeads(v.registry)
-	v.slots = &slots{self: v.settings.VM, bounds: v.bounds, cold: slot.NewService(slot.Options{
-		Params: v.bounds, Store: v.store, Link: v.fleet.link, Membership: v.fleet.members,
+	v.heads = newHeadWatcher(v.registry)
+	v.slots = &slots{self: v.settings.VM, params: v.slotParams, cold: slot.NewService(slot.Options{
+		Params: v.slotParams, Store: v.store, Link: v.fleet.link, Membership: v.fleet.members,
 		Limit: v.coldLimit, Registerer: v.registry, Log: v.log,
 	})}
-	v.slots.deal(v.fleet.ids())
+	v.slots.setLive(v.fleet.liveIDs())
 	v.ledger = ledger.New(v.store, v.fleet, v.registry, ledger.Settings{VM: v.settings.VM, Incarnation: v.incarnation})
-	v.claims = ledger.NewClaims(v.ledger, v.fleet.living)
+	v.claims = ledger.NewClaims(v.ledger, v.fleet.isLive)
 	v.bills = bill.NewSpool(v.store, v.registry, bill.Settings{VM: v.settings.VM, Incarnation: v.incarnation})
 	v.dispatch = dispatch.New(dispatch.Config{
 		DataCentre: v.settings.DataCentre,
@@ -180,9 +181,9 @@
 		Claims:        claims{v.claims},
 		Sessions:      sessions{pin.New(v.ledger, signer)},
 		Bills:         v.bills,
-		Addresses:     answers{v},
+		Addresses:     addresses{v},
 		Rater:         newRater(v.settings.Rating.URL),
-		Cascade:       learning,
+		Cascade:       cascadeSettings,
 		Outcomes:      v.recorder,
 		Brakes:        v.brakes,
 		WrongVersion:  func(endpoint string) { v.loops.Suspect(context.Background(), endpoint) },
@@ -190,11 +191,12 @@
 		Secret:        secret,
 	})
 	v.loops = v.newLoops()
-	v.handlers()
+	v.registerHandlers()
 	return nil
 }
 
-// coldLimit is what an endpoint bears cold by this VM's configuration.
+// coldLimit returns the endpoint's cold slots in this VM's configuration, 0 for an unknown
+// endpoint.
 func (v *VM) coldLimit(endpoint string) int {
 	e := v.cache.Snapshot().Endpoints[endpoint]
 	if e == nil {
@@ -203,28 +205,28 @@
 	return e.ColdSlots
 }
 
-// CallersAddress is where callers connect.
+// CallersAddress returns the address that callers connect to.
 func (v *VM) CallersAddress() string { return v.callers.Addr().String() }
 
-// OperatorsAddress is where operators connect.
+// OperatorsAddress returns the address that operators connect to.
 func (v *VM) OperatorsAddress() string { return v.operators.Addr().String() }
 
-// Run serves until the context ends, then stops as planned: it leaves the address
-// answers, serves until those that name it have run out, lets every running
-// request finish, and returns.
+// Run serves until ctx ends and then performs a planned stop: the VM leaves the address
+// answers, serves until the answers that name it have expired, lets running requests
+// finish, writes its unwritten outcomes and bills, and returns.
 func (v *VM) Run(ctx context.Context) error {
-	// What a planned stop still needs outlives ctx.
+	// The planned stop needs a context that outlives ctx.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, work := errgroup.WithContext(work)
 	callers := v.server(v.entry.Handler())
 	operators := v.server(v.operatorsHandler())
 	for _, loop := range []func(context.Context){
-		v.register, v.fleet.members.Run, v.slots.cold.Run, v.tell,
+		v.register, v.fleet.members.Run, v.slots.cold.Run, v.updateFleet,
 		v.cache.Run, func(ctx context.Context) { v.cache.Subscribe(ctx, v.dispatch.Configure) },
 		v.dispatch.Run, v.pollCold, v.spreadPoison,
-		func(ctx context.Context) { v.bills.Run(ctx, bill.FlushInterval(len(v.fleet.ids()))) },
-		v.loops.Run, v.upkeep,
+		func(ctx context.Context) { v.bills.Run(ctx, bill.FlushInterval(len(v.fleet.liveIDs()))) },
+		v.loops.Run, v.maintainLedger,
 	} {
 		g.Go(func() error { loop(work); return nil })
 	}
@@ -236,7 +238,7 @@
 		case <-work.Done():
 		}
 		v.drain(work)
-		v.settle(work)
+		v.flushOutstanding(work)
 		v.slots.cold.Close()
 		v.fleet.members.Leave()
 		stop()
@@ -250,16 +252,16 @@
 }
 
 func (v *VM) server(h http.Handler) *http.Server {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	v.heads.watch(s)
 	return s
 }
 
-// serve speaks HTTPS where the settings name a certificate.
-func serve(s *http.Server, l net.Listener, at settings.Listener) error {
+// serve serves HTTPS if the settings name a certificate, else HTTP.
+func serve(s *http.Server, l net.Listener, listener settings.Listener) error {
 	var err error
-	if at.Certificate != "" {
-		err = s.ServeTLS(l, at.Certificate, at.Key)
+	if listener.Certificate != "" {
+		err = s.ServeTLS(l, listener.Certificate, listener.Key)
 	} else {
 		err = s.Serve(l)
 	}
@@ -269,9 +271,9 @@
 	return nil
 }
 
-// drain is a planned stop. Callers keep an address for the time they were told, so
-// that a VM which closed at once would turn away every caller that acts on an
-// older answer; and a stream that runs when the process ends is a cut answer.
+// drain performs the first part of a planned stop. Callers keep an address answer for a
+// while, so closing at once would refuse every caller with an older answer. The VM then
+// waits for running streams, because ending the process would cut their answers.
 func (v *VM) drain(ctx context.Context) {
 	v.log.Info().Msg("leaving: no longer in address answers")
 	v.fleet.members.Drain()
@@ -280,12 +282,12 @@
 	v.entry.Close()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(v.settings.StopGrace))
 	defer cancel()
-	for v.entry.Running() > 0 && wait(ctx, drainTick) {
+	for v.entry.Running() > 0 && wait(ctx, drainPollInterval) {
 	}
 	v.log.Info().Int("cut", v.entry.Running()).Msg("stopped")
 }
 
-// wait sleeps for d; false when ctx ended before.
+// wait sleeps for d and returns false if ctx ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
