--- a/router/operator/change.go
+++ b/router/operator/change.go
@@ -14,8 +14,8 @@
 	"goldcrestfork/config"
 )
 
-// accept makes the changes as one and answers with what became of them.
-func (h *handler) accept(w http.ResponseWriter, r *http.Request, changes []config.Change, show func(*config.Snapshot) []config.Object) {
+// applyChanges applies the changes atomically and answers with the outcome.
+func (h *handler) applyChanges(w http.ResponseWriter, r *http.Request, changes []config.Change, show func(*config.Snapshot) []config.Object) {
 	id, since := r.Header.Get(HeaderChangeID), int64(-1)
 	if text := r.Header.Get(HeaderChangeSince); text != "" || id != "" {
 		var err error
@@ -27,7 +27,7 @@
 	if id == "" {
 		id = uuid.NewString()
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), changeBudget)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	revision, s, err := h.Editor.ApplyOnce(ctx, id, since, changes)
 	if err != nil {
@@ -43,14 +43,14 @@
 	h.answer(w, a)
 }
 
-// one shows one object.
-func one(kind config.Kind, name string) func(*config.Snapshot) []config.Object {
+// showOne returns a function that selects one object of a snapshot for the answer.
+func showOne(kind config.Kind, name string) func(*config.Snapshot) []config.Object {
 	return func(s *config.Snapshot) []config.Object { return []config.Object{s.Get(kind, name)} }
 }
 
-// body reads the request's body; it answers itself when that fails.
+// body reads the request's body. If it returns false, it has written the refusal.
 func (h *handler) body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -63,7 +63,7 @@
 	return data, true
 }
 
-// objects reads the body's objects; it answers itself when they are refused.
+// objects parses the objects in the body. If it returns nil, it has written the refusal.
 func (h *handler) objects(w http.ResponseWriter, r *http.Request) []config.Object {
 	data, ok := h.body(w, r)
 	if !ok {
@@ -80,7 +80,7 @@
 	return objects
 }
 
-// put changes one object; its own revision, If-Match or If-None-Match is the condition.
+// put stores one object. Its own revision, If-Match or If-None-Match is the condition.
 func (h *handler) put(w http.ResponseWriter, r *http.Request) {
 	kind, ok := h.kind(w, r)
 	if !ok {
@@ -103,16 +103,16 @@
 	if condition != config.IfAny {
 		change.IfRevision = condition
 	}
-	h.accept(w, r, []config.Change{change}, one(kind, name))
+	h.applyChanges(w, r, []config.Change{change}, showOne(kind, name))
 }
 
-// putChange stores an object on condition of the revision that it carries, if any:
-// an object that was read, edited and put back must not undo what came between.
+// putChange stores an object on condition of the revision that it carries, if any, so that
+// an object that was read, edited and put back doesn't overwrite changes made in between.
 func putChange(o config.Object) config.Change {
 	return config.Change{Op: config.OpPut, Object: o, IfRevision: config.MetaOf(o).Revision}
 }
 
-// condition reads If-Match and If-None-Match.
+// condition parses If-Match and If-None-Match into the expected revision of the object.
 func (h *handler) condition(w http.ResponseWriter, r *http.Request) (int64, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return config.IfAbsent, true
@@ -129,7 +129,7 @@
 	return revision, true
 }
 
-// apply changes all objects of the body as one change.
+// apply stores all objects of the body as one change.
 func (h *handler) apply(w http.ResponseWriter, r *http.Request) {
 	objects := h.objects(w, r)
 	if objects == nil {
@@ -139,7 +139,7 @@
 	for i, o := range objects {
 		changes[i] = putChange(o)
 	}
-	h.accept(w, r, changes, func(s *config.Snapshot) []config.Object {
+	h.applyChanges(w, r, changes, func(s *config.Snapshot) []config.Object {
 		var now []config.Object
 		for _, o := range objects {
 			now = append(now, s.Get(config.KindOf(o), config.MetaOf(o).Name))
@@ -159,10 +159,10 @@
 	}
 	name := r.PathValue("name")
 	change := config.Change{Op: config.OpDelete, Kind: kind, Name: name, IfRevision: condition}
-	h.accept(w, r, []config.Change{change}, one(kind, name))
+	h.applyChanges(w, r, []config.Change{change}, showOne(kind, name))
 }
 
-// label sets labels; null removes one.
+// label sets the labels in the body; a null value removes a label.
 func (h *handler) label(w http.ResponseWriter, r *http.Request) {
 	kind, ok := h.kind(w, r)
 	if !ok {
@@ -190,11 +190,11 @@
 		}
 		change.Labels[key] = *value
 	}
-	h.accept(w, r, []config.Change{change}, one(kind, name))
+	h.applyChanges(w, r, []config.Change{change}, showOne(kind, name))
 }
 
-// act does what an operator asks by name: withdraw, drain, pause and their like.
-func (h *handler) act(w http.ResponseWriter, r *http.Request) {
+// runAction performs the action that the path names, such as withdraw, drain or pause.
+func (h *handler) runAction(w http.ResponseWriter, r *http.Request) {
 	kind, ok := h.kind(w, r)
 	if !ok {
 		return
@@ -210,12 +210,12 @@
 		return
 	}
 	change.IfRevision = condition
-	h.accept(w, r, []config.Change{change}, one(kind, name))
+	h.applyChanges(w, r, []config.Change{change}, showOne(kind, name))
 }
 
-// restore writes the configuration in force here back to a platform that holds an older one.
+// restore writes this VM's configuration in force to a platform that holds an older one.
 func (h *handler) restore(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), changeBudget)
+	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
 	revision, s, err := h.Editor.Restore(ctx, r.Header.Get(HeaderChangeID))
 	if err != nil {
--- a/router/operator/client/client.go
+++ b/router/operator/client/client.go
@@ -1,5 +1,5 @@
-// Package client asks the operators' API of any of several VMs. A change keeps one
-// id over all VMs and repeats, so that it is made once however many answers are lost.
+// Package client calls the operator API on any of several VMs. A change keeps one id across
+// all VMs and repeats, so that it is applied once even if answers are lost.
 //
 // The package has no locks.
 package client
@@ -22,45 +22,48 @@
 )
 
 const (
-	// roundPause is the wait before all VMs are asked again about a change whose fate
-	// is unknown; an outage of the platform lasts longer than that, a lost reply not.
-	roundPause = 500 * time.Millisecond
-	// maxAnswer bounds an answer, in bytes: a whole configuration in JSON.
-	maxAnswer = 64 << 20
+	// retryDelay is the wait before a change with an unknown outcome is sent to all VMs
+	// again. It is short, since a lost reply can be settled at once; only an outage of
+	// the platform lasts longer.
+	retryDelay = 500 * time.Millisecond
+	// maxAnswerBytes bounds an answer, which may hold a whole configuration in JSON.
+	maxAnswerBytes = 64 << 20
 )
 
-// Errors of a client besides *operator.Problem.
+// Errors of a Client other than *operator.Problem.
 var (
-	// ErrUnreachable: no VM answered; a change was certainly not made.
+	// ErrUnreachable reports that no VM answered. A change was not applied.
 	ErrUnreachable = errors.New("no VM answered")
-	// ErrUnknown: it is not known whether the change was made; the error's text says how to find out.
+	// ErrUnknown reports that the outcome of a change is unknown. The error's text says
+	// how to settle it.
 	ErrUnknown = errors.New("it is unknown whether the change was accepted")
 )
 
-// Client asks VMs in their order.
+// Client calls the API of several VMs in the given order.
 type Client struct {
 	// VMs are base URLs such as "http://10.0.0.1:9090".
 	VMs []string
 	// Key is the operator's key.
 	Key string
-	// HTTP makes the calls; its timeout should be above the API's 16 s.
+	// HTTP performs the calls. Its timeout should exceed the API's longest wait of 16 s.
 	HTTP *http.Client
 }
 
-// Change is one change as it goes over the wire.
+// Change is the request of one change.
 type Change struct {
 	Method string
 	Path   string
 	Body   []byte
-	// IfRevision is the condition on the object's revision; 0 for none.
+	// IfRevision is the expected revision of the object; 0 for no condition.
 	IfRevision int64
-	// ID and Since name the change; empty for a new one. Give those of an earlier
-	// attempt to settle its fate.
+	// ID and Since identify the change. They are empty for a new change, and those of the
+	// first attempt for a repeat that settles an unknown outcome.
 	ID    string
 	Since int64
 }
 
-// Read gets a path from the first VM that answers.
+// Read gets a path from the first VM that answers, at minRevision or later. A minRevision of
+// 0 accepts any revision.
 func (c *Client) Read(ctx context.Context, path string, minRevision int64) ([]byte, error) {
 	header := http.Header{}
 	if minRevision > 0 {
@@ -69,7 +72,7 @@
 	var last error = ErrUnreachable
 	for _, vm := range c.VMs {
 		data, err := c.call(ctx, vm, http.MethodGet, path, nil, header)
-		if !passing(err) {
+		if !isRetryable(err) {
 			return data, err
 		}
 		last = fmt.Errorf("%w: %w", ErrUnreachable, err)
@@ -77,8 +80,8 @@
 	return nil, last
 }
 
-// Do makes a change, on one VM after the other until one gives a final answer. It
-// goes on asking while the fate is unknown, until ctx ends.
+// Do sends a change to one VM after another until one gives a final answer. While the outcome
+// is unknown, it repeats the change until ctx ends.
 func (c *Client) Do(ctx context.Context, change Change) (*operator.Answer, error) {
 	if change.ID == "" {
 		since, err := c.revision(ctx)
@@ -96,17 +99,17 @@
 				a := new(operator.Answer)
 				return a, json.Unmarshal(data, a)
 			}
-			if !passing(err) {
+			if !isRetryable(err) {
 				return nil, err
 			}
-			unknown = unknown || maybeMade(err)
+			unknown = unknown || mayBeApplied(err)
 			last = err
 		}
 		if !unknown {
 			return nil, last
 		}
 		select {
-		case <-time.After(roundPause):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w; give --change-id %s --since %d with the same command to find out: %w", ErrUnknown, change.ID, change.Since, last)
 		}
@@ -123,7 +126,7 @@
 	return h
 }
 
-// revision asks for a revision from before the change.
+// revision returns the configuration's revision from before the change.
 func (c *Client) revision(ctx context.Context) (int64, error) {
 	data, err := c.Read(ctx, "/v1/revision", 0)
 	if err != nil {
@@ -136,8 +139,8 @@
 	return a.Revision, nil
 }
 
-// passing reports that another VM may give a better answer.
-func passing(err error) bool {
+// isRetryable reports whether another VM may give a better answer.
+func isRetryable(err error) bool {
 	var p *operator.Problem
 	if errors.As(err, &p) {
 		return p.Status >= http.StatusInternalServerError
@@ -145,8 +148,8 @@
 	return err != nil
 }
 
-// maybeMade reports that a change may have been made although no success was seen.
-func maybeMade(err error) bool {
+// mayBeApplied reports whether a change may have been applied despite the error.
+func mayBeApplied(err error) bool {
 	var p *operator.Problem
 	if errors.As(err, &p) {
 		return p.Accepted != operator.AcceptedNo
@@ -155,7 +158,7 @@
 	return !(errors.As(err, &dial) && dial.Op == "dial")
 }
 
-// call makes one call to one VM.
+// call sends one request to one VM. It returns an *operator.Problem for a refusal.
 func (c *Client) call(ctx context.Context, vm, method, path string, body []byte, header http.Header) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, vm+path, bytes.NewReader(body))
 	if err != nil {
@@ -168,7 +171,7 @@
 		return nil, err
 	}
 	defer answer.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/router/operator/client/client_test.go
+++ b/router/operator/client/client_test.go
@@ -17,8 +17,9 @@
 	"goldcrestfork/standin/store"
 )
 
-// vm serves one VM's API; lose makes it drop that many answers to changes after their effect.
-func vm(t *testing.T, s *store.Store, lose *atomic.Int32) string {
+// serveVM serves the API of one VM. While lose is positive, it applies a change, drops the
+// answer and decrements lose.
+func serveVM(t *testing.T, s *store.Store, lose *atomic.Int32) string {
 	cache := config.NewCache(config.Options{Store: s})
 	sum := sha256.Sum256([]byte("key"))
 	h := operator.New(operator.Options{Configuration: cache, Editor: config.NewEditor(s, cache), KeyHashes: []string{hex.EncodeToString(sum[:])}})
@@ -35,21 +36,21 @@
 	return server.URL
 }
 
-// gone is a VM that was replaced: nobody listens there any more.
-func gone(t *testing.T) string {
+// unreachableVM returns the URL of a VM without a listener.
+func unreachableVM(t *testing.T) string {
 	server := httptest.NewServer(nil)
 	server.Close()
 	return server.URL
 }
 
-// The operator's change takes effect and each answer to it is lost, on two VMs;
-// the first VM named is gone. The operator sees one success, and the platform
-// has accepted one change, although it was sent four times.
+// Each answer to a change is lost on two VMs, and the first VM in the list is unreachable.
+// The operator must see one success, and the platform must accept one change although it
+// was sent four times.
 func TestChangeIsMadeOnceOverLostAnswers(t *testing.T) {
 	s := store.New()
 	var lose atomic.Int32
 	lose.Store(3)
-	c := client.Client{VMs: []string{gone(t), vm(t, s, &lose), vm(t, s, &lose)}, Key: "key", HTTP: http.DefaultClient}
+	c := client.Client{VMs: []string{unreachableVM(t), serveVM(t, s, &lose), serveVM(t, s, &lose)}, Key: "key", HTTP: http.DefaultClient}
 	body := []byte(`{"kind":"data-centre","name":"norte-a","region":"norte","state":"in"}`)
 	a, err := c.Do(t.Context(), client.Change{Method: http.MethodPut, Path: "/v1/data-centre/norte-a", Body: body})
 	require.NoError(t, err)
@@ -58,12 +59,12 @@
 	require.Equal(t, 1, s.Counts().Puts)
 }
 
-// Answers are lost for good. The operator must not read that nothing happened.
+// If all answers to a change are lost, the operator must not be told that it was not applied.
 func TestLostAnswersEndInUnknown(t *testing.T) {
 	s := store.New()
 	var lose atomic.Int32
 	lose.Store(1 << 30)
-	url := vm(t, s, &lose)
+	url := serveVM(t, s, &lose)
 	ctx, cancel := context.WithCancel(t.Context())
 	counting := &http.Client{Transport: cancelAfter{2, new(int), cancel}}
 	c := client.Client{VMs: []string{url}, Key: "key", HTTP: counting}
@@ -72,7 +73,7 @@
 	require.ErrorContains(t, err, "--change-id")
 }
 
-// cancelAfter ends the operator's patience after so many changes.
+// cancelAfter cancels the context after the given number of changes.
 type cancelAfter struct {
 	limit  int
 	seen   *int
@@ -89,17 +90,17 @@
 	return response, err
 }
 
-// With no VM up, or the platform down, the change was certainly not made, and the
-// operator is told so at once.
-func TestCertainRefusals(t *testing.T) {
-	c := client.Client{VMs: []string{gone(t), gone(t)}, Key: "key", HTTP: http.DefaultClient}
+// With all VMs unreachable or the platform down, a change was certainly not applied. The
+// operator must be told so at once.
+func TestChangeKnownNotMadeIsNotUnknown(t *testing.T) {
+	c := client.Client{VMs: []string{unreachableVM(t), unreachableVM(t)}, Key: "key", HTTP: http.DefaultClient}
 	change := client.Change{Method: http.MethodPost, Path: "/v1/data-centre/norte-a/drain"}
 	_, err := c.Do(t.Context(), change)
 	require.ErrorIs(t, err, client.ErrUnreachable)
 
 	s := store.New()
 	s.SetFaults(store.Faults{Down: true})
-	c.VMs = append(c.VMs, vm(t, s, new(atomic.Int32)))
+	c.VMs = append(c.VMs, serveVM(t, s, new(atomic.Int32)))
 	_, err = c.Do(t.Context(), change)
 	var p *operator.Problem
 	require.ErrorAs(t, err, &p)
--- a/router/operator/fake_test.go
+++ b/router/operator/fake_test.go
@@ -8,7 +8,7 @@
 	"goldcrestfork/standin/store"
 )
 
-// downAfterWrite goes down with its first write.
+// downAfterWrite makes the store unavailable after its first write.
 type downAfterWrite struct{ *store.Store }
 
 func (d downAfterWrite) Put(ctx context.Context, key durable.Key, value []byte, ifVersion int64) (durable.Object, error) {
@@ -17,10 +17,10 @@
 	return o, err
 }
 
-// impatient gives a change as long as the platform stays up.
-type impatient struct{ *config.Editor }
+// cancelledOnOutage cancels a change when the platform becomes unavailable.
+type cancelledOnOutage struct{ *config.Editor }
 
-func (e impatient) ApplyOnce(ctx context.Context, id string, since int64, changes []config.Change) (int64, *config.Snapshot, error) {
+func (e cancelledOnOutage) ApplyOnce(ctx context.Context, id string, since int64, changes []config.Change) (int64, *config.Snapshot, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	inner := *e.Editor
@@ -28,7 +28,7 @@
 	return inner.ApplyOnce(ctx, id, since, changes)
 }
 
-// cancelOnDown ends the change's budget at the first call that the platform refuses.
+// cancelOnDown cancels the change at the first read that fails with ErrUnavailable.
 type cancelOnDown struct {
 	durable.Store
 	cancel context.CancelFunc
--- a/router/operator/handler.go
+++ b/router/operator/handler.go
@@ -21,60 +21,62 @@
 	HeaderRevision = "Config-Revision"
 	// HeaderMinRevision makes a read wait until the VM has that revision.
 	HeaderMinRevision = "Min-Revision"
-	// HeaderChangeID and HeaderChangeSince name a change over its repeats: an id and
-	// a revision from before the first attempt.
+	// HeaderChangeID and HeaderChangeSince identify a change across its repeats, by an id
+	// and a revision from before the first attempt.
 	HeaderChangeID    = "Change-Id"
 	HeaderChangeSince = "Change-Since"
 )
 
 // Bounds of a request.
 const (
-	// maxBody bounds the body of a change, in bytes; the root that results is bounded by the platform's 1 MB.
-	maxBody = 8 << 20
-	// changeBudget bounds the settling of a change: several of the platform's call
-	// timeouts (2 s), within an operator's patience.
-	changeBudget = 10 * time.Second
-	// waitBudget bounds the wait for a revision: the users' 16 s for a change to be in force.
-	waitBudget = 16 * time.Second
+	// maxBodyBytes bounds the body of a change. The platform's limit of 1 MB bounds the
+	// resulting root object.
+	maxBodyBytes = 8 << 20
+	// changeTimeout bounds a change until its outcome is known. It spans several of the
+	// platform's call timeouts (2 s) and is short enough for an operator to wait.
+	changeTimeout = 10 * time.Second
+	// waitTimeout bounds the wait for a revision. It equals the 16 s within which a
+	// change must be in force on all VMs.
+	waitTimeout = 16 * time.Second
 )
 
-// Configuration is the configuration in force on this VM.
+// Configuration provides the configuration in force on this VM.
 type Configuration interface {
 	Snapshot() *config.Snapshot
 	WaitRevision(ctx context.Context, revision int64) (*config.Snapshot, error)
 }
 
-// Editor makes accepted changes.
+// Editor applies changes to the configuration.
 type Editor interface {
 	ApplyOnce(ctx context.Context, id string, since int64, changes []config.Change) (int64, *config.Snapshot, error)
 	Restore(ctx context.Context, id string) (int64, *config.Snapshot, error)
 }
 
-// Fleet tells which VMs there are and which revision each has.
+// Fleet provides the VMs and the revision in force on each.
 type Fleet interface {
-	// VMs names those of the platform's list.
+	// VMs returns the names of all VMs, including those that are down.
 	VMs() []string
-	// Revisions gives the revision of each VM heard lately, this one included.
+	// Revisions returns the revision of each live VM, this one included.
 	Revisions() map[string]int64
 }
 
-// Bill sums what one client account used of one version in a day.
+// Bill sums one client account's use of one version on one day.
 type Bill struct {
 	Account      string `json:"account"`
 	Version      string `json:"version"`
 	Requests     int64  `json:"requests"`
 	InputTokens  int64  `json:"inputTokens"`
 	OutputTokens int64  `json:"outputTokens"`
-	// Micros is the price in micro-units.
+	// Micros is the cost in millionths of the account's currency.
 	Micros int64 `json:"micros"`
 }
 
-// Bills reads the bills of a day (UTC); an empty account means all.
+// Bills reads the bills of a day (UTC). An empty account selects all accounts.
 type Bills interface {
 	Bills(ctx context.Context, account string, day time.Time) ([]Bill, error)
 }
 
-// Options of the API.
+// Options configures the API's handler.
 type Options struct {
 	Configuration Configuration
 	Editor        Editor
@@ -82,14 +84,14 @@
 	Bills         Bills
 	// KeyHashes are the hex SHA-256 sums of the operators' keys.
 	KeyHashes []string
-	// Registerer takes the metrics; nil for none.
+	// Registerer registers the metrics; nil registers none.
 	Registerer prometheus.Registerer
 }
 
 type handler struct {
 	Options
 	hashes [][]byte
-	// answers is goldcrest_operator_answers_total by code.
+	// answers counts the answers by code.
 	answers *prometheus.CounterVec
 }
 
@@ -125,12 +127,12 @@
 	mux.HandleFunc("/v1/:kind/:name", h.put, http.MethodPut)
 	mux.HandleFunc("/v1/:kind/:name", h.remove, http.MethodDelete)
 	mux.HandleFunc("/v1/:kind/:name/labels", h.label, http.MethodPatch)
-	mux.HandleFunc("/v1/:kind/:name/:action", h.act, http.MethodPost)
+	mux.HandleFunc("/v1/:kind/:name/:action", h.runAction, http.MethodPost)
 	return mux
 }
 
-// authorize lets through who holds an operator's key. All hashes are compared in
-// constant time, so that the answer's delay tells nothing about them.
+// authorize rejects requests without a valid operator key. All hashes are compared in
+// constant time, so that the response time reveals nothing about them.
 func (h *handler) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/router/operator/operator_test.go
+++ b/router/operator/operator_test.go
@@ -22,7 +22,7 @@
 
 const key = "operator-key"
 
-// fleet is a fleet of two by the list, of which the second is behind.
+// fleet is a fleet of two VMs, of which the second has an old revision.
 type fleet struct{ cache *config.Cache }
 
 func (f fleet) VMs() []string { return []string{"vm-1", "vm-2"} }
@@ -40,7 +40,7 @@
 	return []operator.Bill{{Account: account, Version: "asistente-1", Requests: int64(day.Day())}}, nil
 }
 
-// api is one VM's API over its own cache and a platform in memory.
+// api is one VM's API with its own cache and an in-memory platform.
 type api struct {
 	t       *testing.T
 	store   *store.Store
@@ -58,7 +58,7 @@
 	return &api{t: t, store: s, cache: cache, handler: h}
 }
 
-// call sends one request; headers are "Name: value".
+// call sends one request. Each header has the form "Name: value".
 func (a *api) call(method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(a.t.Context(), method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+key)
@@ -80,8 +80,7 @@
 
 const centre = `{"kind":"data-centre","name":"norte-a","region":"norte","state":"in"}`
 
-// The contract of the API: what each bad request gets, by a stable code, and that
-// none of them changes anything.
+// Each bad request must get its stable code, and none of them may change the configuration.
 func TestAPIRefusals(t *testing.T) {
 	a := newAPI(t, store.New())
 	first := answerOf(t, a.call("PUT", "/v1/data-centre/norte-a", centre)).Revision
@@ -102,22 +101,22 @@
 		{"unknown object", a, "GET", "/v1/data-centre/x", "", "", 404, operator.CodeNotFound, "does not exist", ""},
 		{"unknown path", a, "GET", "/v2", "", "", 404, operator.CodeNoSuchPath, "/v2", ""},
 		{"misspelt field", a, "PUT", "/v1/data-centre/norte-a", strings.Replace(centre, "region", "regoin", 1), "", 422, operator.CodeInvalid, `the field \"region\"`, "no"},
-		{"not whole", a, "POST", "/v1/apply", "[" + centre + "," + strings.Replace(centre, "norte-a", "Norte", 1) + "]", "", 422, operator.CodeInvalid, "lower-case", "no"},
+		{"one object invalid", a, "POST", "/v1/apply", "[" + centre + "," + strings.Replace(centre, "norte-a", "Norte", 1) + "]", "", 422, operator.CodeInvalid, "lower-case", "no"},
 		{"nothing to apply", a, "POST", "/v1/apply", "[]", "", 422, operator.CodeInvalid, "at least one", "no"},
 		{"another object than the path's", a, "PUT", "/v1/data-centre/norte-b", centre, "", 400, operator.CodeBadRequest, "path names", ""},
 		{"old condition", a, "PUT", "/v1/data-centre/norte-a", centre, `If-Match: "9"`, 412, operator.CodeConflict, `"current"`, "no"},
-		{"must not exist", a, "PUT", "/v1/data-centre/norte-a", centre, "If-None-Match: *", 412, operator.CodeConflict, `"current"`, "no"},
+		{"object exists already", a, "PUT", "/v1/data-centre/norte-a", centre, "If-None-Match: *", 412, operator.CodeConflict, `"current"`, "no"},
 		{"old revision in the object", a, "POST", "/v1/apply", strings.Replace(centre, `"region"`, `"revision":7,"region"`, 1), "", 412, operator.CodeConflict, `"current"`, "no"},
-		{"condition no number", a, "DELETE", "/v1/data-centre/norte-a", "", "If-Match: x", 400, operator.CodeBadRequest, "If-Match", ""},
+		{"condition not a number", a, "DELETE", "/v1/data-centre/norte-a", "", "If-Match: x", 400, operator.CodeBadRequest, "If-Match", ""},
 		{"delete unknown", a, "DELETE", "/v1/data-centre/x", "", "", 404, operator.CodeNotFound, "does not exist", "no"},
 		{"unknown action", a, "POST", "/v1/data-centre/norte-a/pause", "", "", 422, operator.CodeInvalid, "drain, take-back", "no"},
-		{"labels no object", a, "PATCH", "/v1/data-centre/norte-a/labels", "[]", "", 400, operator.CodeBadRequest, "labels", ""},
+		{"labels not an object", a, "PATCH", "/v1/data-centre/norte-a/labels", "[]", "", 400, operator.CodeBadRequest, "labels", ""},
 		{"change id alone", a, "PUT", "/v1/data-centre/norte-a", centre, "Change-Id: x", 400, operator.CodeBadRequest, "go together", ""},
-		{"selector", a, "GET", "/v1/data-centre?selector=x", "", "", 400, operator.CodeBadRequest, "key=value", ""},
-		{"minimum no number", a, "GET", "/v1/revision", "", "Min-Revision: x", 400, operator.CodeBadRequest, "revision", ""},
-		{"day", a, "GET", "/v1/bills?day=1", "", "", 400, operator.CodeBadRequest, "2026-01-31", ""},
+		{"malformed selector", a, "GET", "/v1/data-centre?selector=x", "", "", 400, operator.CodeBadRequest, "key=value", ""},
+		{"minimum not a number", a, "GET", "/v1/revision", "", "Min-Revision: x", 400, operator.CodeBadRequest, "revision", ""},
+		{"malformed day", a, "GET", "/v1/bills?day=1", "", "", 400, operator.CodeBadRequest, "2026-01-31", ""},
 		{"bills not read", a, "GET", "/v1/bills?day=2026-01-31&account=broken", "", "", 503, operator.CodeBillsNotRead, "store down", ""},
-		{"nothing to restore", a, "POST", "/v1/restore", "", "", 409, operator.CodeNoRestore, "not older", "no"},
+		{"nothing to restore", a, "POST", "/v1/restore", "", "", 409, operator.CodeNothingToRestore, "not older", "no"},
 		{"platform down", down, "PUT", "/v1/data-centre/norte-a", centre, "", 503, operator.CodeStoreDown, "not accepted", "no"},
 	}
 	for _, row := range rows {
@@ -165,15 +164,15 @@
 	require.Equal(t, http.StatusNotFound, a.call("GET", "/v1/data-centre/norte-a", "").Code)
 }
 
-// The reply of the platform is lost and the platform stays down until the VM gives
-// up. The operator must read "unknown" and how to find out, never "not accepted";
-// the repeat on another VM returns the first result.
-func TestAPIUnknownIsSaidAndSettled(t *testing.T) {
+// The platform's reply to a write is lost and the platform stays down until the change times
+// out. The answer must be "unknown", with the headers to settle it, not "not accepted". A
+// repeat on another VM must return the first result.
+func TestAPIUnknownOutcomeIsReportedAndSettled(t *testing.T) {
 	s := store.New()
 	s.SetFaults(store.Faults{LoseReplies: 1})
 	a := newAPI(t, downAfterWrite{s}.Store)
 	editor := config.NewEditor(downAfterWrite{s}, a.cache)
-	a.handler = operator.New(operator.Options{Configuration: a.cache, Editor: impatient{editor}, KeyHashes: []string{hashOf(key)}})
+	a.handler = operator.New(operator.Options{Configuration: a.cache, Editor: cancelledOnOutage{editor}, KeyHashes: []string{hashOf(key)}})
 	w := a.call("PUT", "/v1/data-centre/norte-a", centre)
 	require.Equal(t, http.StatusGatewayTimeout, w.Code)
 	var p operator.Problem
@@ -191,8 +190,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// A read asks for a revision that this VM can't get. It must not be answered from
-// an older one.
+// A read with a minimum revision that this VM can't get must not be answered from an older
+// revision.
 func TestAPIMinRevisionNeverReadsOlder(t *testing.T) {
 	a := newAPI(t, store.New())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -205,5 +204,5 @@
 	body, err := io.ReadAll(w.Body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, w.Code)
-	require.Contains(t, string(body), operator.CodeNotHere)
+	require.Contains(t, string(body), operator.CodeRevisionNotHere)
 }
--- a/router/operator/read.go
+++ b/router/operator/read.go
@@ -10,8 +10,8 @@
 	"goldcrestfork/config"
 )
 
-// snapshot returns the configuration that a read sees: at the revision asked for
-// with Min-Revision, or later. It answers itself when that doesn't come.
+// snapshot returns the configuration in force, at the revision in Min-Revision or later. If
+// that revision doesn't arrive in time, it writes the refusal and returns nil.
 func (h *handler) snapshot(w http.ResponseWriter, r *http.Request) *config.Snapshot {
 	text := r.Header.Get(HeaderMinRevision)
 	if text == "" {
@@ -22,11 +22,11 @@
 		h.badRequest(w, HeaderMinRevision+" is not a revision")
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), waitBudget)
+	ctx, cancel := context.WithTimeout(r.Context(), waitTimeout)
 	defer cancel()
 	s, err := h.Configuration.WaitRevision(ctx, revision)
 	if err != nil {
-		h.refuse(w, Problem{Status: http.StatusGatewayTimeout, Code: CodeNotHere,
+		h.refuse(w, Problem{Status: http.StatusGatewayTimeout, Code: CodeRevisionNotHere,
 			Detail: "this VM has revision " + strconv.FormatInt(h.Configuration.Snapshot().Revision, 10) + "; ask another VM or later"})
 		return nil
 	}
@@ -37,7 +37,7 @@
 	h.refuse(w, Problem{Status: http.StatusBadRequest, Code: CodeBadRequest, Detail: detail})
 }
 
-// kind reads the path's kind; it answers itself when there is no such kind.
+// kind parses the kind in the path. If it returns false, it has written the refusal.
 func (h *handler) kind(w http.ResponseWriter, r *http.Request) (config.Kind, bool) {
 	kind := config.Kind(r.PathValue("kind"))
 	if config.New(kind) == nil {
@@ -94,7 +94,7 @@
 	h.answer(w, Answer{Revision: s.Revision, Objects: []json.RawMessage{mustMarshal(o)}})
 }
 
-// inForce says on how many VMs a revision is in force; without one, this VM's.
+// inForce answers on how many VMs a revision is in force. The default is this VM's revision.
 func (h *handler) inForce(w http.ResponseWriter, r *http.Request) {
 	revision := h.Configuration.Snapshot().Revision
 	if text := r.URL.Query().Get("revision"); text != "" {
