--- a/router/settings/check_test.go
+++ b/router/settings/check_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each row spoils good settings in one way. The daemon must refuse to start and name
-// the field, or it would run with what nobody meant.
-func TestSettingsNameTheField(t *testing.T) {
+// Each row breaks valid settings in one way. Parse must refuse them and name the field, or the
+// daemon would run with unintended settings.
+func TestParseNamesInvalidField(t *testing.T) {
 	dir := t.TempDir()
 	pem := filepath.Join(dir, "pem")
 	require.NoError(t, os.WriteFile(pem, nil, 0o600))
--- a/router/settings/fuzz_test.go
+++ b/router/settings/fuzz_test.go
@@ -12,13 +12,13 @@
 	"goldcrestfork/config"
 )
 
-// Whatever a settings file holds, it is refused with the field and what is expected,
-// or what comes out is whole: addresses by number, a secret of full length, defaults
-// filled in; and written out it is read again as the same.
+// Parse must refuse any input with a field and the expected value, or return complete settings:
+// addresses as IP numbers, a secret of full length and all defaults. Written out and parsed
+// again, they must be equal.
 func FuzzParse(f *testing.F) {
-	// Any file that is there will do; fuzzing processes must all find it.
+	// The file must exist for every fuzzing process.
 	const file = "settings.go"
-	hash := strings.Repeat("ab", minSecret)
+	hash := strings.Repeat("ab", minSecretBytes)
 	good := `{ // as an operator writes it
 		"vm": "vm-1", "dataCentre": "a", "region": "r",
 		"callers": {"address": "127.0.0.1:0"}, "operators": {"address": "[::1]:7"},
@@ -46,7 +46,7 @@
 			_, err := netip.ParseAddrPort(address)
 			require.NoError(t, err)
 		}
-		require.GreaterOrEqual(t, len(s.SecretBytes()), minSecret)
+		require.GreaterOrEqual(t, len(s.SecretBytes()), minSecretBytes)
 		require.Positive(t, min(s.KeepAddresses, s.SpreadLeaving, s.StopGrace))
 		text, err := json.Marshal(s)
 		require.NoError(t, err)
--- a/router/settings/page_test.go
+++ b/router/settings/page_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A setting that the operators' page leaves out is one that nobody sets.
+// An operator can't know a setting that is missing from the operators' page.
 func TestPageNamesEverySetting(t *testing.T) {
 	text, err := os.ReadFile("../../docs/operators/settings.md")
 	require.NoError(t, err)
--- a/router/settings/url.go
+++ b/router/settings/url.go
@@ -6,17 +6,17 @@
 	"net/url"
 )
 
-// url checks "http://ip:port/…".
+// url checks a URL of the form "http://ip:port/path".
 func (c *checker) url(field, v string, required bool) {
 	if v == "" && !required {
 		return
 	}
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" {
-		c.refuse(field, fmt.Sprintf("%q", v), `"http://ip:port" or "https://ip:port"`)
+		c.addProblem(field, fmt.Sprintf("%q", v), `"http://ip:port" or "https://ip:port"`)
 		return
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		c.refuse(field, fmt.Sprintf("%q", v), "an IP number and a port as host")
+		c.addProblem(field, fmt.Sprintf("%q", v), "an IP number and a port as host")
 	}
 }
