--- a/standin/backend/engine.go
+++ b/standin/backend/engine.go
@@ -1,6 +1,6 @@
-// Package backend holds stand-ins for what stands behind the router: a model
-// engine, a plain service and the rating service, each an http.Handler with
-// faults that a test or the demo sets.
+// Package backend provides stand-ins for the router's back ends: a model engine, a plain
+// service and the rating service. Each serves HTTP and simulates the faults that a test or the
+// demo sets.
 //
 // Lock order: Engine.mu and Service.mu are leaves.
 package backend
@@ -19,35 +19,37 @@
 	"github.com/alexedwards/flow"
 )
 
-// EngineFaults is what goes wrong on an engine, from the moment it is set.
+// EngineFaults are the faults that an engine simulates from the time they are set.
 type EngineFaults struct {
-	// CutAfter ends each stream without an end mark after so many tokens; 0 means never.
+	// CutAfter is the number of tokens after which each stream ends without an end marker; 0
+	// means never.
 	CutAfter int `json:"cutAfter"`
-	// Cuts bounds how many streams CutAfter hits; 0 means all.
+	// Cuts limits the number of streams that CutAfter affects; 0 means all.
 	Cuts int `json:"cuts"`
-	// Forget makes the engine forget cut streams, so that it can't resume them.
+	// Forget makes the engine drop the state of cut streams, so that it can't resume them.
 	Forget bool `json:"forget"`
 	// Double sends each frame twice.
 	Double bool `json:"double"`
-	// Cross sends a frame of another request before each frame.
+	// Cross sends another request's frame before each frame.
 	Cross bool `json:"cross"`
-	// Skip leaves out the frame at this position of the next stream; 0 means none.
+	// Skip omits the frame at this position of the next stream; 0 means none.
 	Skip int `json:"skip"`
-	// AnswersAs makes the engine answer with this version whatever was asked.
+	// AnswersAs makes the engine answer with this version whichever was requested.
 	AnswersAs string `json:"answersAs"`
-	// Refuse answers 503 with Retry-After to each request before running it.
+	// Refuse makes the engine answer each request with 503 and Retry-After without running it.
 	Refuse bool `json:"refuse"`
-	// Fail answers 500 at once.
+	// Fail makes the engine answer each request with 500 at once.
 	Fail bool `json:"fail"`
-	// FailVersion answers 500 at once when this version is asked for.
+	// FailVersion makes the engine answer requests for this version with 500 at once.
 	FailVersion string `json:"failVersion"`
-	// CrashOn drops the connection when the prompt holds this text, and starts anew, cold.
+	// CrashOn makes the engine crash on a prompt that contains this text: it drops the
+	// connection and restarts in cold start.
 	CrashOn string `json:"crashOn"`
 	// TokenDelay is the time between tokens, in nanoseconds in JSON.
 	TokenDelay time.Duration `json:"tokenDelay"`
 }
 
-// Engine is a stand-in for a model engine's runner.
+// Engine is a stand-in for a model engine. It is safe for concurrent use.
 type Engine struct {
 	mu          sync.Mutex
 	versions    []string
@@ -58,25 +60,26 @@
 	running     int
 	faults      EngineFaults
 	runs        map[string]int
-	kept        map[string]string
+	resumable   map[string]string
 	stats       EngineStats
 }
 
-// EngineStats counts what an engine saw.
+// EngineStats counts events of an engine since its creation.
 type EngineStats struct {
-	// Started counts streams that began, resumed ones included.
+	// Started counts streams that began, including resumed ones.
 	Started int `json:"started"`
-	// Cancelled counts streams whose client left before the end.
+	// Cancelled counts streams whose client disconnected, or whose time limit passed, before
+	// the end.
 	Cancelled int `json:"cancelled"`
-	// MaxCold is the largest number of requests run at once in cold start.
+	// MaxCold is the largest number of concurrent requests in cold start.
 	MaxCold int `json:"maxCold"`
-	// Crashes counts crashes by CrashOn.
+	// Crashes counts crashes caused by EngineFaults.CrashOn.
 	Crashes int `json:"crashes"`
 }
 
-// NewEngine returns a warm engine that serves the versions named.
+// NewEngine returns a warm engine that serves the given versions.
 func NewEngine(versions ...string) *Engine {
-	return &Engine{versions: versions, incarnation: 1, runs: make(map[string]int), kept: make(map[string]string)}
+	return &Engine{versions: versions, incarnation: 1, runs: make(map[string]int), resumable: make(map[string]string)}
 }
 
 // SetFaults replaces the faults in force.
@@ -86,7 +89,8 @@
 	e.faults = f
 }
 
-// Begin tells a process's engine which start of it this is, and whether it is cold.
+// Begin sets the incarnation of the engine and whether it is in cold start. A process calls it
+// at its start.
 func (e *Engine) Begin(incarnation int, cold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,10 +104,11 @@
 	e.restart()
 }
 
+// restart starts a new incarnation in cold start. Callers hold e.mu.
 func (e *Engine) restart() {
 	e.incarnation++
 	e.cold = true
-	e.kept = make(map[string]string)
+	e.resumable = make(map[string]string)
 }
 
 // Warm ends the cold start.
@@ -113,38 +118,40 @@
 	e.cold = false
 }
 
-// Stats returns what the engine saw.
+// Stats returns the engine's counts.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// Runs returns how often a request began on this engine.
+// Runs returns how many times a request began on this engine.
 func (e *Engine) Runs(requestID string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[requestID]
 }
 
-// Handler serves the engine's protocol and its control paths (/faults, /restart, /warm, /stats).
+// Handler returns a handler of the engine's protocol and of its control paths (/faults,
+// /restart, /warm, /stats).
 func (e *Engine) Handler() http.Handler {
 	mux := flow.New()
-	mux.HandleFunc("/v1/chat/completions", e.complete, http.MethodPost)
-	mux.HandleFunc("/load", e.load, http.MethodGet)
-	mux.HandleFunc("/order", e.obey, http.MethodPost)
-	mux.HandleFunc("/order", e.report, http.MethodGet)
-	mux.HandleFunc("/faults", setFaults(e.SetFaults), http.MethodPost)
+	mux.HandleFunc("/v1/chat/completions", e.handleCompletion, http.MethodPost)
+	mux.HandleFunc("/load", e.handleLoad, http.MethodGet)
+	mux.HandleFunc("/order", e.handleOrder, http.MethodPost)
+	mux.HandleFunc("/order", e.handleOrderReport, http.MethodGet)
+	mux.HandleFunc("/faults", faultsHandler(e.SetFaults), http.MethodPost)
 	mux.HandleFunc("/restart", func(http.ResponseWriter, *http.Request) { e.Restart() }, http.MethodPost)
 	mux.HandleFunc("/warm", func(http.ResponseWriter, *http.Request) { e.Warm() }, http.MethodPost)
 	mux.HandleFunc("/stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Stats()) }, http.MethodGet)
 	return mux
 }
 
-func setFaults[F any](set func(F)) http.HandlerFunc {
+// faultsHandler returns a handler that decodes faults from JSON and passes them to set.
+func faultsHandler[F any](set func(F)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f F
-		if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&f); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&f); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -152,9 +159,11 @@
 	}
 }
 
-const maxBody = 4 << 20
+// maxBodyBytes bounds the part of a request body that is read.
+const maxBodyBytes = 4 << 20
 
-type completion struct {
+// completionRequest is the body of a chat completion request, as far as the engine uses it.
+type completionRequest struct {
 	Messages []struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -173,9 +182,9 @@
 	faults              EngineFaults
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	var body completion
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&body); err != nil {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
+	var body completionRequest
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -186,12 +195,12 @@
 	for _, m := range body.Messages {
 		s.prompt += m.Content
 	}
-	status := e.begin(&s, r.Header.Get("X-Resume-From"), body)
-	defer e.end()
-	e.head(w, &s)
+	status := e.startStream(&s, r.Header.Get("X-Resume-From"), body)
+	defer e.endRequest()
+	e.setHead(w, &s)
 	switch status {
 	case http.StatusOK:
-		e.run(w, r, &s)
+		e.writeStream(w, r, &s)
 	case 0:
 		panic(http.ErrAbortHandler)
 	default:
@@ -202,8 +211,9 @@
 	}
 }
 
-// begin decides whether the stream runs; 0 means that the engine crashes on it.
-func (e *Engine) begin(s *stream, resume string, body completion) int {
+// startStream registers a request and returns the status of its answer; 0 means that the
+// engine crashes on it. resume is the position to resume from, or "".
+func (e *Engine) startStream(s *stream, resume string, body completionRequest) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running++
@@ -226,12 +236,12 @@
 		if err != nil {
 			return http.StatusBadRequest
 		}
-		if body.Resume == nil && e.kept[s.id] != s.prompt {
+		if body.Resume == nil && e.resumable[s.id] != s.prompt {
 			return http.StatusGone
 		}
 		s.next = n
 	}
-	e.kept[s.id] = s.prompt
+	e.resumable[s.id] = s.prompt
 	e.runs[s.id]++
 	e.stats.Started++
 	if e.cold {
@@ -240,6 +250,7 @@
 	return http.StatusOK
 }
 
+// contains reports whether list has s.
 func contains(list []string, s string) bool {
 	for _, v := range list {
 		if v == s {
@@ -249,26 +260,30 @@
 	return false
 }
 
-func (e *Engine) end() {
+// endRequest removes a request from the running ones.
+func (e *Engine) endRequest() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 }
 
-func (e *Engine) head(w http.ResponseWriter, s *stream) {
+// setHead sets the headers that every answer has.
+func (e *Engine) setHead(w http.ResponseWriter, s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w.Header().Set("X-Model-Version", s.runs())
-	e.describe(w.Header())
+	w.Header().Set("X-Model-Version", s.answerVersion())
+	e.setStateHeaders(w.Header())
 }
 
-// describe sets what the engine says of itself. Callers hold e.mu.
-func (e *Engine) describe(h http.Header) {
+// setStateHeaders sets the headers with the engine's incarnation, load and state. Callers hold
+// e.mu.
+func (e *Engine) setStateHeaders(h http.Header) {
 	h.Set("X-Incarnation", strconv.Itoa(e.incarnation))
 	h.Set("X-Running", strconv.Itoa(e.running))
 	h.Set("X-State", e.state())
 }
 
+// state returns the engine's state on the wire. Callers hold e.mu.
 func (e *Engine) state() string {
 	if e.cold {
 		return "cold"
@@ -276,7 +291,9 @@
 	return "warm"
 }
 
-func (e *Engine) run(w http.ResponseWriter, r *http.Request, s *stream) {
+// writeStream writes the tokens of a stream as server-sent events, with the faults in force
+// when the request began.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream) {
 	if limit, err := strconv.Atoi(r.Header.Get("X-Time-Limit-Ms")); err == nil {
 		ctx, cancel := context.WithTimeout(r.Context(), time.Duration(limit)*time.Millisecond)
 		defer cancel()
@@ -284,18 +301,18 @@
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
-	cut := e.takeCut(s)
+	cut := e.consumeCut(s)
 	for i := s.next; i < s.total; i++ {
 		if cut && i-s.next >= s.faults.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if !pause(r, s.faults.TokenDelay) {
-			e.cancelled()
+		if !waitFor(r, s.faults.TokenDelay) {
+			e.countCancelled()
 			return
 		}
-		s.frame(w, i)
+		s.writeFrames(w, i)
 		if flusher.Flush() != nil {
-			e.cancelled()
+			e.countCancelled()
 			return
 		}
 	}
@@ -304,38 +321,40 @@
 	io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// runs is the version that the engine runs, whatever was asked.
-func (s *stream) runs() string {
+// answerVersion returns the version that the answer names, which AnswersAs may override.
+func (s *stream) answerVersion() string {
 	if s.faults.AnswersAs != "" {
 		return s.faults.AnswersAs
 	}
 	return s.version
 }
 
-// frame writes the token at position i, with the faults in force.
-func (s *stream) frame(w io.Writer, i int) {
+// writeFrames writes the frame of the token at position i, with the faults applied.
+func (s *stream) writeFrames(w io.Writer, i int) {
 	if s.faults.Cross {
-		writeToken(w, "another-request", s.runs(), i, "CROSSED")
+		writeToken(w, "another-request", s.answerVersion(), i, "CROSSED")
 	}
 	if s.faults.Skip != 0 && i == s.faults.Skip {
 		return
 	}
-	writeToken(w, s.id, s.runs(), i, Token(s.prompt, i))
+	writeToken(w, s.id, s.answerVersion(), i, Token(s.prompt, i))
 	if s.faults.Double {
-		writeToken(w, s.id, s.runs(), i, Token(s.prompt, i))
+		writeToken(w, s.id, s.answerVersion(), i, Token(s.prompt, i))
 	}
 }
 
+// writeToken writes one token as a server-sent event.
 func writeToken(w io.Writer, id, version string, position int, text string) {
 	fmt.Fprintf(w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"position\":%d,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", id, version, position, text)
 }
 
-// Token is the text that every engine generates at a position for a prompt, so that a test can tell a whole answer.
+// Token returns the text that every engine generates at a position for a prompt, so that a
+// test can check that an answer is complete.
 func Token(prompt string, position int) string {
 	return fmt.Sprintf("t%d.%d ", len(prompt), position)
 }
 
-// Answer is the whole text of n tokens for a prompt.
+// Answer returns the text of the first n tokens for a prompt.
 func Answer(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -344,7 +363,8 @@
 	return b.String()
 }
 
-func (e *Engine) takeCut(s *stream) bool {
+// consumeCut reports whether a stream is to be cut, and counts it against Cuts.
+func (e *Engine) consumeCut(s *stream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.CutAfter == 0 {
@@ -357,19 +377,21 @@
 		}
 	}
 	if e.faults.Forget {
-		delete(e.kept, s.id)
+		delete(e.resumable, s.id)
 	}
 	return true
 }
 
-func (e *Engine) cancelled() {
+// countCancelled counts a cancelled stream.
+func (e *Engine) countCancelled() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Cancelled++
 }
 
-// pause waits between tokens; false when the client has gone.
-func pause(r *http.Request, d time.Duration) bool {
+// waitFor waits for d and reports whether the request is still wanted: false means that its
+// client disconnected or its time limit passed.
+func waitFor(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
 	}
@@ -381,14 +403,16 @@
 	}
 }
 
-// load reports state and load; the lag is the reader's.
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+// handleLoad serves the engine's state and load as they are now. Readers account for the age
+// of a report themselves.
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.describe(w.Header())
+	e.setStateHeaders(w.Header())
 	writeJSON(w, map[string]any{"incarnation": strconv.Itoa(e.incarnation), "state": e.state(), "running": e.running})
 }
 
+// writeJSON answers with v as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/backend/order.go
+++ b/standin/backend/order.go
@@ -6,7 +6,8 @@
 	"net/http"
 )
 
-// order is what an engine should load and do; as a report it says what it does.
+// order names the versions that an engine should load and the role it should have. As a
+// report it holds those that are in force.
 type order struct {
 	Fence       int64    `json:"fence"`
 	Versions    []string `json:"versions"`
@@ -14,10 +15,11 @@
 	Incarnation int      `json:"incarnation"`
 }
 
-// obey takes an order unless one with a higher fencing number was obeyed before.
-func (e *Engine) obey(w http.ResponseWriter, r *http.Request) {
+// handleOrder applies an order, or refuses it if one with a higher fencing number was applied
+// before.
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o order
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -30,7 +32,8 @@
 	e.fence, e.versions, e.role = o.Fence, o.Versions, o.Role
 }
 
-func (e *Engine) report(w http.ResponseWriter, _ *http.Request) {
+// handleOrderReport serves the engine's present versions and role.
+func (e *Engine) handleOrderReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, order{Fence: e.fence, Versions: e.versions, Role: e.role, Incarnation: e.incarnation})
--- a/standin/backend/service.go
+++ b/standin/backend/service.go
@@ -10,17 +10,19 @@
 	"github.com/alexedwards/flow"
 )
 
-// ServiceFaults is what goes wrong on a plain service.
+// ServiceFaults are the faults that a plain service simulates.
 type ServiceFaults struct {
-	// LoseReplies is the number of further calls that take effect and whose connection then drops.
+	// LoseReplies is the number of further calls that take effect but get no answer, since the
+	// connection is dropped.
 	LoseReplies int `json:"loseReplies"`
-	// Refuse answers 503 before doing anything.
+	// Refuse makes the service answer each call with 503 without effect.
 	Refuse bool `json:"refuse"`
 	// Hold is the time between a call's effect and its answer, in nanoseconds in JSON.
 	Hold time.Duration `json:"hold"`
 }
 
-// Service is a stand-in for a plain service: it books each POST and answers each GET.
+// Service is a stand-in for a plain service. A GET is counted; a call of another method is a
+// booking, whose body is kept. It is safe for concurrent use.
 type Service struct {
 	mu     sync.Mutex
 	faults ServiceFaults
@@ -28,7 +30,7 @@
 	reads  int
 }
 
-// NewService returns a service with nothing booked.
+// NewService returns a service without bookings.
 func NewService() *Service { return &Service{} }
 
 // SetFaults replaces the faults in force.
@@ -45,29 +47,31 @@
 	return append([]string(nil), s.booked...)
 }
 
-// Reads returns the number of GET calls answered or dropped.
+// Reads returns the number of GET calls that took effect, including those whose answer was
+// lost.
 func (s *Service) Reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads
 }
 
-// Handler serves the service and its control paths (/faults, /booked).
+// Handler returns a handler of the service and of its control paths (/faults, /booked).
 func (s *Service) Handler() http.Handler {
 	mux := flow.New()
-	mux.HandleFunc("/faults", setFaults(s.SetFaults), http.MethodPost)
+	mux.HandleFunc("/faults", faultsHandler(s.SetFaults), http.MethodPost)
 	mux.HandleFunc("/booked", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Booked()) }, http.MethodGet)
-	mux.HandleFunc("/...", s.call)
+	mux.HandleFunc("/...", s.handleCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+// handleCall executes one call and answers it after the hold time, or drops the connection.
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	number, status, hold, lose := s.take(r.Method, string(body))
-	if !pause(r, hold) || lose {
+	number, status, hold, lose := s.execute(r.Method, string(body))
+	if !waitFor(r, hold) || lose {
 		panic(http.ErrAbortHandler)
 	}
 	if status != http.StatusOK {
@@ -77,7 +81,9 @@
 	writeJSON(w, map[string]any{"path": r.URL.Path, "number": number})
 }
 
-func (s *Service) take(method, body string) (number, status int, hold time.Duration, lose bool) {
+// execute applies the effect of a call. It returns the call's number among those of its kind,
+// the status of the answer, and the faults that apply to the answer.
+func (s *Service) execute(method, body string) (number, status int, hold time.Duration, lose bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Refuse {
@@ -97,21 +103,21 @@
 	return number, http.StatusOK, s.faults.Hold, false
 }
 
-// RatingFaults is what goes wrong on the rating service.
+// RatingFaults are the faults and ratings of the rating service.
 type RatingFaults struct {
-	// Down answers 503 to every call.
+	// Down makes the service answer each call with 503.
 	Down bool `json:"down"`
-	// Ratings gives the rating of each model version; one that is missing gets 0.9.
+	// Ratings holds the rating of each model version; the default is 0.9.
 	Ratings map[string]float64 `json:"ratings"`
 }
 
-// Rating is a stand-in for the service that rates answers.
+// Rating is a stand-in for the service that rates answers. It is safe for concurrent use.
 type Rating struct {
 	mu     sync.Mutex
 	faults RatingFaults
 }
 
-// NewRating returns a rating service that rates everything 0.9.
+// NewRating returns a service that gives each answer the rating 0.9.
 func NewRating() *Rating { return &Rating{} }
 
 // SetFaults replaces the faults and ratings in force.
@@ -121,19 +127,20 @@
 	g.faults = f
 }
 
-// Handler serves POST /rate and the control path /faults.
+// Handler returns a handler of POST /rate and of the control path /faults.
 func (g *Rating) Handler() http.Handler {
 	mux := flow.New()
-	mux.HandleFunc("/faults", setFaults(g.SetFaults), http.MethodPost)
-	mux.HandleFunc("/rate", g.rate, http.MethodPost)
+	mux.HandleFunc("/faults", faultsHandler(g.SetFaults), http.MethodPost)
+	mux.HandleFunc("/rate", g.handleRate, http.MethodPost)
 	return mux
 }
 
-func (g *Rating) rate(w http.ResponseWriter, r *http.Request) {
+// handleRate answers with the rating of the version in the request.
+func (g *Rating) handleRate(w http.ResponseWriter, r *http.Request) {
 	var q struct {
 		Version string `json:"version"`
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&q); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/standin/order/order.go
+++ b/standin/order/order.go
@@ -1,6 +1,6 @@
-// Package order is a stand-in for the side of a model engine that takes orders:
-// to load versions and to change role. It checks fencing numbers or ignores
-// them, and orders can be late: their sender gives up, their effect comes later.
+// Package order is a stand-in for the interface by which a model engine receives orders to
+// load versions and to change its role. An endpoint checks fencing numbers or ignores them.
+// Orders can be delayed, so that they take effect after their sender's timeout.
 //
 // Lock order: Endpoint.mu is a leaf.
 package order
@@ -13,19 +13,20 @@
 	"time"
 )
 
-// Order is absolute: it names all versions that should be loaded.
+// Order names all versions that the endpoint should load, and its role. An order replaces the
+// previous one as a whole.
 type Order struct {
-	// Fence is the fencing number.
+	// Fence is the order's fencing number; a higher one is newer.
 	Fence    int64
 	Versions []string
 	Role     string
 }
 
-// Report is what the endpoint says of itself.
+// Report is the state that an endpoint reports.
 type Report struct {
-	// Incarnation grows with each restart.
+	// Incarnation is 1 at first and increases by one at each restart.
 	Incarnation int
-	// Fence is the highest fencing number obeyed in this incarnation.
+	// Fence is the highest fencing number of the orders applied in this incarnation.
 	Fence    int64
 	Versions []string
 	Role     string
@@ -33,34 +34,36 @@
 
 // Errors of an endpoint.
 var (
-	// ErrFenced: the order's fencing number is older than one obeyed before.
+	// ErrFenced reports an order whose fencing number is lower than one applied before.
 	ErrFenced = errors.New("order with an old fencing number")
-	// ErrDown: the endpoint can't be reached; the order had no effect.
+	// ErrDown reports that the endpoint can't be reached; the order had no effect.
 	ErrDown = errors.New("endpoint down")
 )
 
-// Faults is what goes wrong, from the moment it is set.
+// Faults are the faults that an endpoint simulates.
 type Faults struct {
-	// Down: orders and reports fail.
+	// Down makes orders and reports fail with ErrDown.
 	Down bool
-	// Late is the time an order spends on its way; its sender may give up earlier.
+	// Late is the time that an order is in flight; its sender's timeout may be shorter.
 	Late time.Duration
 	// LoseReplies is the number of further orders that take effect and whose reply is lost.
 	LoseReplies int
 }
 
-// Endpoint is one engine.
+// Endpoint is a stand-in for one engine. It is safe for concurrent use.
 type Endpoint struct {
 	fenced bool
 
 	mu     sync.Mutex
 	faults Faults
 	report Report
-	// Taken counts orders that took effect, changed those that changed anything.
-	taken, changed, refused int
+	// applied counts the orders that took effect, changed those of them that changed the
+	// versions or the role, and refused those with an old fencing number.
+	applied, changed, refused int
 }
 
-// New returns an endpoint that checks fencing numbers or not.
+// New returns an endpoint in its first incarnation; fenced says whether it checks fencing
+// numbers.
 func New(fenced bool) *Endpoint { return &Endpoint{fenced: fenced, report: Report{Incarnation: 1}} }
 
 // SetFaults replaces the faults in force for orders sent from now on.
@@ -70,14 +73,15 @@
 	e.faults = f
 }
 
-// Restart loses what was loaded and the fencing number, as an engine does.
+// Restart begins a new incarnation without versions, role and fencing number, as an engine
+// does.
 func (e *Endpoint) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.report = Report{Incarnation: e.report.Incarnation + 1}
 }
 
-// Order sends an order. When ctx ends first, the order stays on its way.
+// Order sends an order. If ctx ends first, the order stays in flight and still takes effect.
 func (e *Endpoint) Order(ctx context.Context, o Order) error {
 	e.mu.Lock()
 	faults := e.faults
@@ -92,7 +96,7 @@
 	done := make(chan error, 1)
 	go func() {
 		time.Sleep(faults.Late)
-		done <- e.take(o)
+		done <- e.apply(o)
 	}()
 	select {
 	case err := <-done:
@@ -105,14 +109,15 @@
 	}
 }
 
-func (e *Endpoint) take(o Order) error {
+// apply applies an order, or refuses it if its fencing number is old.
+func (e *Endpoint) apply(o Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fenced && o.Fence < e.report.Fence {
 		e.refused++
 		return ErrFenced
 	}
-	e.taken++
+	e.applied++
 	if !slices.Equal(e.report.Versions, o.Versions) || e.report.Role != o.Role {
 		e.changed++
 	}
@@ -133,9 +138,10 @@
 	return r, nil
 }
 
-// Counts returns how many orders took effect, changed something, were refused.
-func (e *Endpoint) Counts() (taken, changed, refused int) {
+// Counts returns the numbers of orders that took effect, that changed something, and that were
+// refused for their fencing number.
+func (e *Endpoint) Counts() (applied, changed, refused int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.taken, e.changed, e.refused
+	return e.applied, e.changed, e.refused
 }
--- a/standin/order/order_test.go
+++ b/standin/order/order_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An order comes late, after a newer one. An endpoint that checks fencing
-// numbers keeps the newer; one that ignores them falls back to the older.
+// Guards against a stand-in that handles a delayed order wrongly: it arrives after a newer one.
+// An endpoint that checks fencing numbers keeps the newer order; one that ignores them returns
+// to the older.
 func TestLateOrder(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/standin/platformd/main.go
+++ b/standin/platformd/main.go
@@ -1,4 +1,4 @@
-// Command platformd serves the stand-in of the platform's object API over HTTP.
+// Command platformd serves a stand-in for the platform's object API over HTTP.
 package main
 
 import (
@@ -16,14 +16,14 @@
 type settings struct {
 	Listen string        `default:"127.0.0.1:7700" help:"Address to serve on; port 0 takes a free one."`
 	Delay  time.Duration `default:"3ms" help:"Delay of each call."`
-	Writes float64       `default:"500" help:"Writes a second; 0 lifts the cap."`
-	Reads  float64       `default:"2000" help:"Reads a second; 0 lifts the cap."`
+	Writes float64       `default:"500" help:"Limit of writes a second; 0 means no limit."`
+	Reads  float64       `default:"2000" help:"Limit of reads a second; 0 means no limit."`
 	VMLag  time.Duration `name:"vm-lag" default:"3s" help:"Lag of the list of VMs."`
 }
 
 func main() {
 	var set settings
-	kong.Parse(&set, kong.Description("Stand-in of the platform's object API."))
+	kong.Parse(&set, kong.Description("Stand-in for the platform's object API."))
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	s := store.New()
 	s.SetFaults(store.Faults{Delay: set.Delay})
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -8,48 +8,53 @@
 	"goldcrestfork/durable"
 )
 
-// Faults is what goes wrong, from the moment it is set.
+// Faults are the faults that the store simulates from the time they are set.
 type Faults struct {
-	// Down: every call fails with ErrUnavailable and watches break.
+	// Down makes each call fail with ErrUnavailable and ends the watches.
 	Down bool
 	// Delay is added to each call before it takes effect.
 	Delay time.Duration
-	// LoseReplies is the number of further writes whose effect takes place and whose reply is lost.
+	// LoseReplies is the number of further writes that take effect but fail with ErrUnknown, as
+	// if their reply were lost.
 	LoseReplies int
 	// RefuseWrites is the number of further writes that fail with ErrUnknown without effect.
 	RefuseWrites int
-	// HoldWrites is the number of further writes that fail with ErrUnknown and
-	// reach the store later, when their condition may still hold.
+	// HoldWrites is the number of further writes that fail with ErrUnknown and reach the store
+	// later. They then take effect if their condition still holds.
 	HoldWrites int
-	// HoldFor is how long a held write takes; zero: until Release.
+	// HoldFor is the time after which a held write reaches the store; zero means at the next
+	// call of Release.
 	HoldFor time.Duration
-	// HistoryLost makes the next watch start fail with ErrGone, once.
+	// HistoryLost makes the next start of a watch fail with ErrGone, once.
 	HistoryLost bool
 }
 
-type heldWrite struct {
+// writeCall is a write or deletion on condition that the object has version ifVersion.
+type writeCall struct {
 	key       durable.Key
 	value     []byte
 	ifVersion int64
 	deleted   bool
 }
 
-// SetFaults replaces the faults in force; breaking watches see it at once.
+// SetFaults replaces the faults in force and applies them to waiting watches at once.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// SetRates caps the calls a second; zero lifts a cap. A tenth of a second's worth may come at once.
+// SetRates limits the writes and reads a second; zero means no limit. The burst is the number
+// of calls in a tenth of a second, at least one.
 func (s *Store) SetRates(writes, reads float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = [2]*rate.Limiter{read: limiter(reads), write: limiter(writes)}
+	s.limits = [2]*rate.Limiter{read: newLimiter(reads), write: newLimiter(writes)}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a rate limiter, or nil for no limit.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
@@ -67,8 +72,8 @@
 	}
 }
 
-// hold keeps a write back. Callers hold s.mu.
-func (s *Store) hold(h heldWrite) {
+// hold delays a write until Release or for HoldFor. Callers hold s.mu.
+func (s *Store) hold(h writeCall) {
 	if s.faults.HoldFor == 0 {
 		s.held = append(s.held, &h)
 		return
--- a/standin/store/handler.go
+++ b/standin/store/handler.go
@@ -18,19 +18,20 @@
 // FaultOrder is the body of POST /faults; it replaces the faults in force.
 type FaultOrder struct {
 	Down bool `json:"down"`
-	// Delay of each call, in Go's notation ("3ms").
+	// Delay is the delay of each call, in the notation of time.ParseDuration ("3ms").
 	Delay        string `json:"delay"`
 	LoseReplies  int    `json:"lose_replies"`
 	RefuseWrites int    `json:"refuse_writes"`
 	HoldWrites   int    `json:"hold_writes"`
-	// HoldFor is how long a held write takes to arrive; empty: until the next order.
+	// HoldFor is the time after which a held write reaches the store; empty means at the next
+	// POST /faults.
 	HoldFor     string `json:"hold_for"`
 	HistoryLost bool   `json:"history_lost"`
 }
 
-// Handler serves the store over HTTP as package httpstore describes, and
-// besides: PUT and DELETE /vms/{id} by which a VM enters itself, POST /faults
-// and GET /counts.
+// Handler returns a handler of the store's HTTP interface as package httpstore describes it.
+// It also serves PUT and DELETE /vms/{id}, with which a VM registers and deregisters, POST
+// /faults and GET /counts.
 func Handler(s *Store) http.Handler {
 	h := &handler{store: s}
 	mux := flow.New()
@@ -46,16 +47,18 @@
 	return mux
 }
 
+// handler serves the HTTP interface of a store.
 type handler struct{ store *Store }
 
-func key(r *http.Request) durable.Key {
+// objectKey returns the key of the object that a request names.
+func objectKey(r *http.Request) durable.Key {
 	return durable.Key{Kind: r.PathValue("kind"), Name: r.PathValue("name")}
 }
 
 func (h *handler) get(w http.ResponseWriter, r *http.Request) {
-	o, err := h.store.Get(r.Context(), key(r))
+	o, err := h.store.Get(r.Context(), objectKey(r))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("ETag", httpstore.Tag(o.Version))
@@ -63,18 +66,18 @@
 }
 
 func (h *handler) put(w http.ResponseWriter, r *http.Request) {
-	version, err := condition(r)
+	version, err := parseCondition(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	value, err := io.ReadAll(io.LimitReader(r.Body, durable.MaxValue+1))
 	if err != nil {
-		return // the caller went away in its body: no effect, nobody to tell
+		return // the caller disconnected within its body: no effect and no answer
 	}
-	o, err := h.store.Put(context.WithoutCancel(r.Context()), key(r), value, version)
+	o, err := h.store.Put(context.WithoutCancel(r.Context()), objectKey(r), value, version)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("ETag", httpstore.Tag(o.Version))
@@ -82,13 +85,13 @@
 }
 
 func (h *handler) delete(w http.ResponseWriter, r *http.Request) {
-	version, err := condition(r)
+	version, err := parseCondition(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := h.store.Delete(context.WithoutCancel(r.Context()), key(r), version); err != nil {
-		fail(w, err)
+	if err := h.store.Delete(context.WithoutCancel(r.Context()), objectKey(r), version); err != nil {
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("ETag", httpstore.Tag(version))
@@ -102,14 +105,14 @@
 	}
 	listing, err := h.store.List(r.Context(), r.PathValue("kind"))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	out := httpstore.Listing{Revision: listing.Revision}
 	for _, o := range listing.Objects {
 		out.Objects = append(out.Objects, httpstore.Object{Name: o.Name, Version: o.Version, Value: o.Value})
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
 func (h *handler) watch(w http.ResponseWriter, r *http.Request, from string) {
@@ -120,7 +123,7 @@
 	}
 	events, err := h.store.Watch(r.Context(), r.PathValue("kind"), revision)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	defer events.Close()
@@ -134,7 +137,8 @@
 	}
 }
 
-// writeLine waits for one event, or writes an empty line when none comes in time.
+// writeLine writes the next event of a watch, or an empty line if there is none within the
+// keep-alive interval. It reports whether the watch continues.
 func writeLine(w io.Writer, encoder *json.Encoder, events durable.Watch, r *http.Request) bool {
 	ctx, cancel := context.WithTimeout(r.Context(), httpstore.KeepAlive)
 	defer cancel()
@@ -157,14 +161,14 @@
 func (h *handler) vms(w http.ResponseWriter, r *http.Request) {
 	list, err := h.store.VMs(r.Context())
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	rows := make([]httpstore.VM, 0, len(list))
 	for _, vm := range list {
 		rows = append(rows, httpstore.VM(vm))
 	}
-	reply(w, rows)
+	writeJSON(w, rows)
 }
 
 func (h *handler) register(w http.ResponseWriter, r *http.Request) {
@@ -199,8 +203,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (h *handler) counts(w http.ResponseWriter, _ *http.Request) { reply(w, h.store.Counts()) }
+func (h *handler) counts(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.store.Counts()) }
 
+// faults converts the request's body to Faults.
 func (o FaultOrder) faults() (Faults, error) {
 	f := Faults{
 		Down:         o.Down,
@@ -210,22 +215,24 @@
 		HistoryLost:  o.HistoryLost,
 	}
 	var err error
-	if f.Delay, err = duration(o.Delay); err != nil {
+	if f.Delay, err = parseDuration(o.Delay); err != nil {
 		return f, err
 	}
-	f.HoldFor, err = duration(o.HoldFor)
+	f.HoldFor, err = parseDuration(o.HoldFor)
 	return f, err
 }
 
-func duration(s string) (time.Duration, error) {
+// parseDuration parses a duration; an empty text is 0.
+func parseDuration(s string) (time.Duration, error) {
 	if s == "" {
 		return 0, nil
 	}
 	return time.ParseDuration(s)
 }
 
-// condition reads the version that a write is conditional on.
-func condition(r *http.Request) (int64, error) {
+// parseCondition returns the version that a write is conditional on; 0 means that the object
+// must not exist.
+func parseCondition(r *http.Request) (int64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, nil
 	}
@@ -235,13 +242,14 @@
 	return 0, errors.New("a write needs If-Match or If-None-Match: *")
 }
 
-func reply(w http.ResponseWriter, v any) {
+// writeJSON answers with v as JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// fail gives an error of the interface its status.
-func fail(w http.ResponseWriter, err error) {
+// writeError answers with the HTTP status of an error of package durable.
+func writeError(w http.ResponseWriter, err error) {
 	var conflict *durable.ConflictError
 	switch {
 	case errors.As(err, &conflict):
@@ -249,7 +257,7 @@
 		w.WriteHeader(http.StatusPreconditionFailed)
 		_, _ = w.Write(conflict.Current.Value)
 	case errors.Is(err, durable.ErrUnknown):
-		// A lost reply: the connection ends without one.
+		// The connection ends without an answer, since the write's outcome is unknown.
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, durable.ErrOverRate):
 		w.Header().Set("Retry-After", "1")
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform's object API, in memory, with the
-// faults the users describe: outage, slowness, replies lost after the effect, a
-// VM list that lags, watches that lose their history.
+// Package store is an in-memory stand-in for the platform's object API. It simulates the
+// faults that the users describe: outages, slow calls, replies that are lost after the effect,
+// a stale list of VMs, and watches whose history is lost.
 //
 // Lock order: Store.mu is a leaf.
 package store
@@ -19,32 +19,34 @@
 	"goldcrestfork/durable"
 )
 
-// historyLimit bounds the events kept for watches; an older start gets ErrGone.
+// historyLimit bounds the number of events kept for watches. A watch from an older revision
+// fails with ErrGone.
 const historyLimit = 4096
 
-// Counts is the number of calls by kind of call; a waiting watch counts as one.
+// Counts holds the number of calls of each kind; a watch counts as one call, however long it
+// lasts. Conflicts and OverRate count the calls that failed for these reasons.
 type Counts struct {
 	Gets, Lists, Puts, Deletes, Watches, VMLists, Conflicts, OverRate int
-	// PutBytes is the size of all values sent in writes, taken or not.
+	// PutBytes is the size of all values sent in writes, including those of failed writes.
 	PutBytes int64
 }
 
-// Writes is the number of calls that count against the platform's write rate.
+// Writes returns the number of calls that count towards the platform's limit of writes.
 func (c Counts) Writes() int { return c.Puts + c.Deletes }
 
-// Store implements durable.Store.
+// Store implements durable.Store in memory. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	revision int64
-	objects  map[durable.Key]durable.Object
-	history  []durable.Event
-	changed  chan struct{}
-	faults   Faults
-	counts   Counts
-	limits   [2]*rate.Limiter
-	held     []*heldWrite
-	vms      []snapshot
-	vmLag    time.Duration
+	mu           sync.Mutex
+	revision     int64
+	objects      map[durable.Key]durable.Object
+	history      []durable.Event
+	changeSignal chan struct{}
+	faults       Faults
+	counts       Counts
+	limits       [2]*rate.Limiter
+	held         []*writeCall
+	vms          []snapshot
+	vmLag        time.Duration
 }
 
 var _ durable.Store = (*Store)(nil)
@@ -52,19 +54,19 @@
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		objects: make(map[durable.Key]durable.Object),
-		changed: make(chan struct{}),
+		objects:      make(map[durable.Key]durable.Object),
+		changeSignal: make(chan struct{}),
 	}
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Bytes is the size of all values held.
+// Bytes returns the size of all stored values in bytes.
 func (s *Store) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,22 +77,23 @@
 	return total
 }
 
-// wake lets waiting watches look again. Callers hold s.mu.
-func (s *Store) wake() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+// notifyWatches makes waiting watches check for events again. Callers hold s.mu.
+func (s *Store) notifyWatches() {
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
 
-// access is the kind of a call, which the platform caps apart.
-type access int
+// accessKind distinguishes reads and writes, whose rates the platform limits separately.
+type accessKind int
 
 const (
-	read access = iota
+	read accessKind = iota
 	write
 )
 
-// enter applies the faults and caps common to all calls and counts the call.
-func (s *Store) enter(ctx context.Context, a access, count func(*Counts)) error {
+// startCall counts a call with count and applies the rate limits and faults that are common to
+// all calls.
+func (s *Store) startCall(ctx context.Context, a accessKind, count func(*Counts)) error {
 	s.mu.Lock()
 	count(&s.counts)
 	limit := s.limits[a]
@@ -119,7 +122,7 @@
 
 // Get implements durable.Store.
 func (s *Store) Get(ctx context.Context, key durable.Key) (durable.Object, error) {
-	if err := s.enter(ctx, read, func(c *Counts) { c.Gets++ }); err != nil {
+	if err := s.startCall(ctx, read, func(c *Counts) { c.Gets++ }); err != nil {
 		return durable.Object{}, err
 	}
 	s.mu.Lock()
@@ -133,7 +136,7 @@
 
 // List implements durable.Store.
 func (s *Store) List(ctx context.Context, kind string) (durable.Listing, error) {
-	if err := s.enter(ctx, read, func(c *Counts) { c.Lists++ }); err != nil {
+	if err := s.startCall(ctx, read, func(c *Counts) { c.Lists++ }); err != nil {
 		return durable.Listing{}, err
 	}
 	s.mu.Lock()
@@ -153,7 +156,7 @@
 	if len(value) > durable.MaxValue {
 		return durable.Object{}, durable.ErrTooLarge
 	}
-	if err := s.enter(ctx, write, func(c *Counts) {
+	if err := s.startCall(ctx, write, func(c *Counts) {
 		c.Puts++
 		c.PutBytes += int64(len(value))
 	}); err != nil {
@@ -161,22 +164,23 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.write(heldWrite{key: key, value: bytes.Clone(value), ifVersion: ifVersion})
+	return s.write(writeCall{key: key, value: bytes.Clone(value), ifVersion: ifVersion})
 }
 
 // Delete implements durable.Store.
 func (s *Store) Delete(ctx context.Context, key durable.Key, ifVersion int64) error {
-	if err := s.enter(ctx, write, func(c *Counts) { c.Deletes++ }); err != nil {
+	if err := s.startCall(ctx, write, func(c *Counts) { c.Deletes++ }); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, err := s.write(heldWrite{key: key, ifVersion: ifVersion, deleted: true})
+	_, err := s.write(writeCall{key: key, ifVersion: ifVersion, deleted: true})
 	return err
 }
 
-// write takes effect or not, then loses the reply or not. Callers hold s.mu.
-func (s *Store) write(h heldWrite) (durable.Object, error) {
+// write applies a write with the faults of writes: it may be refused or held, or its reply may
+// be lost. Callers hold s.mu.
+func (s *Store) write(h writeCall) (durable.Object, error) {
 	if s.faults.RefuseWrites > 0 {
 		s.faults.RefuseWrites--
 		return durable.Object{}, durable.ErrUnknown
@@ -194,8 +198,8 @@
 	return o, err
 }
 
-// apply checks the condition of a write and takes effect. Callers hold s.mu.
-func (s *Store) apply(h heldWrite) (durable.Object, error) {
+// apply executes a write if its condition holds. Callers hold s.mu.
+func (s *Store) apply(h writeCall) (durable.Object, error) {
 	current, ok := s.objects[h.key]
 	if h.deleted && !ok {
 		return durable.Object{}, durable.ErrNotFound
@@ -216,6 +220,6 @@
 	if len(s.history) > historyLimit {
 		s.history = slices.Clone(s.history[len(s.history)-historyLimit/2:])
 	}
-	s.wake()
+	s.notifyWatches()
 	return o, nil
 }
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -17,7 +17,7 @@
 	"goldcrestfork/standin/store"
 )
 
-// faults turns the table's faults into the stand-in's.
+// faults implements the faults of package storetest with those of the stand-in.
 type faults struct{ *store.Store }
 
 func (f faults) Outage(down bool)     { f.SetFaults(store.Faults{Down: down}) }
@@ -58,8 +58,9 @@
 	return client
 }
 
-// A status alone must decide whether a write had an effect: only the two by
-// which the platform refuses beforehand, and the client's own mistakes, are sure.
+// Guards against a client that takes a failed write for one without effect. Only the statuses
+// of calls that the platform refuses beforehand, and of the client's own errors, prove that
+// the write had no effect; after any other status it is unknown.
 func TestWriteStatuses(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -84,7 +85,8 @@
 	}
 }
 
-// Nobody listens, or the reply is cut: the first sent no byte, the second may have taken effect.
+// Guards against confusing two broken connections: a refused connection sent no byte, so the
+// write had no effect; if the reply is cut off, the write may have taken effect.
 func TestWriteConnections(t *testing.T) {
 	key := durable.Key{Kind: "k", Name: "n"}
 	server := httptest.NewServer(http.NotFoundHandler())
@@ -104,7 +106,8 @@
 	require.NotErrorIs(t, err, durable.ErrUnavailable)
 }
 
-func TestRateCap(t *testing.T) {
+// The limit of writes must refuse a second write within a tenth of a second, but no read.
+func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
 		s.SetRates(10, 20)
@@ -114,7 +117,7 @@
 		_, err = s.Put(t.Context(), key, nil, o.Version)
 		require.ErrorIs(t, err, durable.ErrOverRate)
 		_, err = s.Get(t.Context(), key)
-		require.NoError(t, err, "reads are capped apart")
+		require.NoError(t, err, "reads have a limit of their own")
 		time.Sleep(100 * time.Millisecond)
 		_, err = s.Put(t.Context(), key, nil, o.Version)
 		require.NoError(t, err)
@@ -122,6 +125,7 @@
 	})
 }
 
+// The list of VMs must show each change after the lag and not before, in the order of ids.
 func TestVMListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lag = 3 * time.Second
@@ -150,7 +154,7 @@
 	})
 }
 
-// Separate processes enter themselves, set faults and read the counts over HTTP.
+// Separate processes register VMs, set faults and read the counts over HTTP.
 func TestHandlerExtras(t *testing.T) {
 	s := store.New()
 	h := store.Handler(s)
--- a/standin/store/vms.go
+++ b/standin/store/vms.go
@@ -9,7 +9,7 @@
 	"goldcrestfork/durable"
 )
 
-// snapshot is the list of VMs as it stood from one moment on.
+// snapshot is the list of VMs from a time until the next snapshot.
 type snapshot struct {
 	from time.Time
 	vms  []durable.VM
@@ -22,23 +22,24 @@
 	s.vms = []snapshot{{vms: slices.Clone(vms)}}
 }
 
-// SetVMLag sets by how much the list lags behind Register and Deregister.
+// SetVMLag sets the time after which Register and Deregister show in the list.
 func (s *Store) SetVMLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vmLag = lag
 }
 
-// Register enters a VM or replaces its row; the list shows it after the lag.
+// Register adds a VM or replaces its row; the list shows the change after the lag.
 func (s *Store) Register(vm durable.VM) {
 	s.changeVMs(vm.ID, func(rows []durable.VM) []durable.VM { return append(rows, vm) })
 }
 
-// Deregister takes a VM out; the list shows it after the lag.
+// Deregister removes a VM; the list shows the change after the lag.
 func (s *Store) Deregister(id string) {
 	s.changeVMs(id, func(rows []durable.VM) []durable.VM { return rows })
 }
 
+// changeVMs removes the row of a VM, applies add, and appends the result as a new snapshot.
 func (s *Store) changeVMs(id string, add func([]durable.VM) []durable.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +54,7 @@
 
 // VMs implements durable.Store.
 func (s *Store) VMs(ctx context.Context) ([]durable.VM, error) {
-	if err := s.enter(ctx, read, func(c *Counts) { c.VMLists++ }); err != nil {
+	if err := s.startCall(ctx, read, func(c *Counts) { c.VMLists++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
--- a/standin/store/watch.go
+++ b/standin/store/watch.go
@@ -9,17 +9,18 @@
 	"goldcrestfork/durable"
 )
 
+// watch implements durable.Watch for one kind of objects.
 type watch struct {
-	store *Store
-	kind  string
-	next  int64
-	once  sync.Once
-	done  chan struct{}
+	store        *Store
+	kind         string
+	nextRevision int64
+	once         sync.Once
+	done         chan struct{}
 }
 
 // Watch implements durable.Store.
 func (s *Store) Watch(ctx context.Context, kind string, revision int64) (durable.Watch, error) {
-	if err := s.enter(ctx, read, func(c *Counts) { c.Watches++ }); err != nil {
+	if err := s.startCall(ctx, read, func(c *Counts) { c.Watches++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -28,7 +29,7 @@
 		s.faults.HistoryLost = false
 		return nil, durable.ErrGone
 	}
-	return &watch{store: s, kind: kind, next: revision + 1, done: make(chan struct{})}, nil
+	return &watch{store: s, kind: kind, nextRevision: revision + 1, done: make(chan struct{})}, nil
 }
 
 // Next implements durable.Watch.
@@ -48,7 +49,7 @@
 	}
 }
 
-// poll returns the next event, or the channel that closes when there may be one.
+// poll returns the next event, or a channel that is closed when there may be one.
 func (w *watch) poll() (durable.Event, <-chan struct{}, error) {
 	s := w.store
 	s.mu.Lock()
@@ -60,20 +61,20 @@
 	if len(s.history) > 0 {
 		oldest = s.history[0].Version
 	}
-	if w.next < oldest {
+	if w.nextRevision < oldest {
 		return durable.Event{}, nil, durable.ErrGone
 	}
-	from, _ := slices.BinarySearchFunc(s.history, w.next, func(e durable.Event, next int64) int {
+	from, _ := slices.BinarySearchFunc(s.history, w.nextRevision, func(e durable.Event, next int64) int {
 		return cmp.Compare(e.Version, next)
 	})
 	for _, e := range s.history[from:] {
 		if e.Kind == w.kind {
-			w.next = e.Version + 1
+			w.nextRevision = e.Version + 1
 			return e, nil, nil
 		}
 	}
-	w.next = s.revision + 1
-	return durable.Event{}, s.changed, nil
+	w.nextRevision = s.revision + 1
+	return durable.Event{}, s.changeSignal, nil
 }
 
 // Close implements durable.Watch.
