--- a/standin/backend/engine.go
+++ b/standin/backend/engine.go
@@ -2,7 +2,7 @@
 // service and the rating service. Each serves HTTP and simulates the faults that a test or the
 // demo sets.
 //
-// Lock order: Engine.mu and Service.mu are leaves.
+// Lock order: Engine.mu, Service.mu and Rating.mu are leaves.
 package backend
 
 import (
@@ -59,8 +59,8 @@
 	cold        bool
 	running     int
 	faults      EngineFaults
-	runs        map[string]int
-	resumable   map[string]string
+	runs        map[string]int    // number of starts, by request id
+	resumable   map[string]string // prompts of the streams that can be resumed, by request id
 	stats       EngineStats
 }
 
--- a/standin/order/order.go
+++ b/standin/order/order.go
@@ -32,7 +32,7 @@
 	Role     string
 }
 
-// Errors of an endpoint.
+// Errors of Endpoint.Order and Endpoint.Report.
 var (
 	// ErrFenced reports an order whose fencing number is lower than one applied before.
 	ErrFenced = errors.New("order with an old fencing number")
@@ -46,11 +46,12 @@
 	Down bool
 	// Late is the time that an order is in flight; its sender's timeout may be shorter.
 	Late time.Duration
-	// LoseReplies is the number of further orders that take effect and whose reply is lost.
+	// LoseReplies is the number of further orders that take effect but fail with
+	// context.DeadlineExceeded, as if their reply were lost.
 	LoseReplies int
 }
 
-// Endpoint is a stand-in for one engine. It is safe for concurrent use.
+// Endpoint is a stand-in for one engine's interface for orders. It is safe for concurrent use.
 type Endpoint struct {
 	fenced bool
 
--- a/standin/platformd/main.go
+++ b/standin/platformd/main.go
@@ -16,8 +16,8 @@
 type settings struct {
 	Listen string        `default:"127.0.0.1:7700" help:"Address to serve on; port 0 takes a free one."`
 	Delay  time.Duration `default:"3ms" help:"Delay of each call."`
-	Writes float64       `default:"500" help:"Limit of writes a second; 0 means no limit."`
-	Reads  float64       `default:"2000" help:"Limit of reads a second; 0 means no limit."`
+	Writes float64       `default:"500" help:"Writes a second; 0 lifts the cap."`
+	Reads  float64       `default:"2000" help:"Reads a second; 0 lifts the cap."`
 	VMLag  time.Duration `name:"vm-lag" default:"3s" help:"Lag of the list of VMs."`
 }
 
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -40,12 +40,12 @@
 	revision     int64
 	objects      map[durable.Key]durable.Object
 	history      []durable.Event
-	changeSignal chan struct{}
+	changeSignal chan struct{} // closed and replaced at each change
 	faults       Faults
 	counts       Counts
 	limits       [2]*rate.Limiter
-	held         []*writeCall
-	vms          []snapshot
+	held         []*writeCall // writes that wait for Release
+	vms          []snapshot   // oldest first; the first is the one shown, once its lag is over
 	vmLag        time.Duration
 }
 
--- a/standin/store/vms.go
+++ b/standin/store/vms.go
@@ -15,7 +15,7 @@
 	vms  []durable.VM
 }
 
-// SetVMs replaces the VM list at once, without lag.
+// SetVMs replaces the list of VMs at once, without lag.
 func (s *Store) SetVMs(vms []durable.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	s.vms = append(s.vms, snapshot{from: time.Now(), vms: rows})
 }
 
-// VMs implements durable.Store.
+// VMs implements durable.Store and returns the list as it was the lag ago.
 func (s *Store) VMs(ctx context.Context) ([]durable.VM, error) {
 	if err := s.startCall(ctx, read, func(c *Counts) { c.VMLists++ }); err != nil {
 		return nil, err
