--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -40,7 +40,7 @@
 	revision     int64
 	objects      map[durable.Key]durable.Object
 	history      []durable.Event
-	changeSignal chan struct{} // closed and replaced at each change
+	changeSignal chan struct{} // closed and replaced at each change of objects or faults
 	faults       Faults
 	counts       Counts
 	limits       [2]*rate.Limiter
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -58,9 +58,9 @@
 	return client
 }
 
-// Guards against a client that takes a failed write for one without effect. Only the statuses
-// of calls that the platform refuses beforehand, and of the client's own errors, prove that
-// the write had no effect; after any other status it is unknown.
+// Guards against a client that takes a failed write for one without effect. Only 429
+// and 503, by which the platform refuses a call beforehand, and the statuses of the client's
+// own errors prove that the write had no effect; after any other status it is unknown.
 func TestWriteStatuses(t *testing.T) {
 	for _, c := range []struct {
 		status int
