--- a/standin/platformd/main.go
+++ b/standin/platformd/main.go
@@ -1,4 +1,4 @@
-// Command platformd serves the stand-in of the platform's object API over HTTP.
+// Command platformd serves a stand-in for the platform's object API over HTTP.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 func main() {
 	var set settings
-	kong.Parse(&set, kong.Description("Stand-in of the platform's object API."))
+	kong.Parse(&set, kong.Description("Stand-in for the platform's object API."))
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	s := store.New()
 	s.SetFaults(store.Faults{Delay: set.Delay})
