--- a/router/vm/fleet.go
+++ b/router/vm/fleet.go
@@ -135,7 +135,7 @@
 	return f.Call(ctx, vm, methodLedger, body)
 }
 
-// isLive implements ledger.Living: it reports whether the VM still runs as the given
+// isLive implements ledger.IsAlive: it reports whether the VM still runs as the given
 // incarnation.
 func (f *fleet) isLive(vm string, incarnation uint64) bool {
 	for _, m := range f.liveOthers() {
