--- a/policy/admission/refuse.go
+++ b/policy/admission/refuse.go
@@ -98,14 +98,14 @@
 			a := q.backlog[i]
 			q.checkAccount(now, o, a, class)
 			if i < len(q.backlog) && q.backlog[i] == a {
-				i++ // otherwise the account is gone and another has taken its index
+				i++ // otherwise the account left the backlog and another has its index
 			}
 		}
 	}
 }
 
 // checkAccount refuses the items of one account and class that can no longer meet their
-// deadline, and marks the class as at risk if others are likely to.
+// deadline, and marks the class as at risk if other items are likely to miss theirs.
 func (q *Queue) checkAccount(now time.Time, o classBacklog, a *account, class int) {
 	drained := seconds(o.work / o.rate) // time until the whole class is served
 	own := 0.0
--- a/policy/loadtest/attempt.go
+++ b/policy/loadtest/attempt.go
@@ -22,7 +22,7 @@
 }
 
 // attempt dispatches the call to an endpoint, and returns false if no endpoint has
-// room.
+// free capacity.
 func (v *vm) attempt(c *call) bool {
 	now := v.run.loop.now
 	if v.modules.Poison {
--- a/policy/loadtest/engine.go
+++ b/policy/loadtest/engine.go
@@ -65,7 +65,7 @@
 	speed              float64
 	failing            bool
 	cold, down         bool
-	scheduleGeneration int // incremented by each change of the jobs, to invalidate scheduled completions
+	scheduleGeneration int // number of changes of the jobs, to invalidate scheduled completions
 	jobs               []*job
 	advancedAt         time.Time
 	cache              *lru.LRU[uint64, struct{}]
--- a/policy/loadtest/scenario.go
+++ b/policy/loadtest/scenario.go
@@ -33,8 +33,8 @@
 	// or answer with errors between From and To.
 	SlowEndpoints, FailingEndpoints int
 	// PoolDown takes all endpoints down at From and brings them back in cold start
-	// at To. PoolRestart restarts them all at From, with no more than a moment of
-	// down time. PoolFailing makes all endpoints answer with errors between From
+	// at To. PoolRestart restarts them all at From, in cold start after a
+	// millisecond. PoolFailing makes all endpoints answer with errors between From
 	// and To.
 	PoolDown, PoolRestart, PoolFailing bool
 	// PoisonRequests is the number of requests, sent at From, that crash the
--- a/policy/loadtest/vm.go
+++ b/policy/loadtest/vm.go
@@ -87,7 +87,8 @@
 }
 
 // dispatch sends a call that holds a slot of the queue to an endpoint. If no
-// endpoint has room, dispatch returns the call to the queue and reports false.
+// endpoint has free capacity, dispatch returns the call to the queue and reports
+// false.
 func (v *vm) dispatch(c *call) bool {
 	c.holdsSlot = true
 	if v.attempt(c) {
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -147,7 +147,8 @@
 	return Change{}, false
 }
 
-// StartProbations puts the endpoints whose ejection has ended on probation and returns their changes.
+// StartProbations puts the endpoints whose ejection has ended on probation and returns their
+// changes.
 func (d *Detector) StartProbations(now time.Time) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/policy/patience/patience.go
+++ b/policy/patience/patience.go
@@ -10,9 +10,9 @@
 	// estimateFactor is how many times the estimated time an answer may take. Nine in ten
 	// estimates from the work under way are within a factor of two of the true time.
 	estimateFactor = 4
-	// minAimShare is the shortest wait as a share of the target latency; the rest is enough for
+	// minTargetShare is the shortest wait as a share of the target latency; the rest is enough for
 	// another endpoint.
-	minAimShare = 0.4
+	minTargetShare = 0.4
 	// maxLeftShare is the longest wait as a share of the caller's remaining time.
 	maxLeftShare = 0.5
 )
@@ -27,22 +27,23 @@
 	AttemptsLeft int
 }
 
-// WithinFromEstimate derives Attempt.Within from an estimate based on the work under way; 0 if there is
-// none.
+// WithinFromEstimate derives Attempt.Within from an estimate based on the work under way; 0 if
+// there is none.
 func WithinFromEstimate(estimate time.Duration) time.Duration { return estimateFactor * estimate }
 
-// Timeout returns how long to wait for the head. ok is false if the attempt runs until the caller's
-// deadline: no attempt or no time is left for another one, or the expected time is unknown.
+// Timeout returns how long to wait for the head. ok is false if the attempt runs until the
+// caller's deadline: no attempt or no time is left for another one, or the expected time or the
+// target latency is unknown.
 func Timeout(a Attempt) (wait time.Duration, ok bool) {
 	if a.AttemptsLeft < 1 || a.TargetLatency <= 0 || a.Within <= 0 {
 		return 0, false
 	}
-	wait = max(a.Within, time.Duration(minAimShare*float64(a.TargetLatency)))
+	wait = max(a.Within, time.Duration(minTargetShare*float64(a.TargetLatency)))
 	return wait, wait <= time.Duration(maxLeftShare*float64(a.Remaining))
 }
 
-// AnswerTimes estimates the answer times of services whose requests carry no estimate of their work.
-// It is safe for concurrent use.
+// AnswerTimes estimates the answer times of services whose requests carry no estimate of their
+// work. It is safe for concurrent use.
 type AnswerTimes struct {
 	mu       sync.Mutex
 	services map[string]*latencyEstimator
--- a/policy/patience/patience_test.go
+++ b/policy/patience/patience_test.go
@@ -23,12 +23,12 @@
 		wait time.Duration
 		ok   bool
 	}{
-		"a share of the aim":  {base, 600 * time.Millisecond, true},
-		"long prompt":         {with(func(a *Attempt) { a.Within = 2 * time.Second }), 2 * time.Second, true},
-		"no attempt left":     {with(func(a *Attempt) { a.AttemptsLeft = 0 }), 0, false},
-		"unknown time":        {with(func(a *Attempt) { a.Within = 0 }), 0, false},
-		"no aim":              {with(func(a *Attempt) { a.TargetLatency = 0 }), 0, false},
-		"no time for another": {with(func(a *Attempt) { a.Remaining = time.Second }), 600 * time.Millisecond, false},
+		"a share of the target": {base, 600 * time.Millisecond, true},
+		"long prompt":           {with(func(a *Attempt) { a.Within = 2 * time.Second }), 2 * time.Second, true},
+		"no attempt left":       {with(func(a *Attempt) { a.AttemptsLeft = 0 }), 0, false},
+		"unknown time":          {with(func(a *Attempt) { a.Within = 0 }), 0, false},
+		"no target latency":     {with(func(a *Attempt) { a.TargetLatency = 0 }), 0, false},
+		"no time for another":   {with(func(a *Attempt) { a.Remaining = time.Second }), 600 * time.Millisecond, false},
 	} {
 		wait, ok := Timeout(c.a)
 		require.Equal(t, c.ok, ok, name)
@@ -53,13 +53,13 @@
 }
 
 // simulate sends 20 s of lookups to ten servers that lose a share of the answers. It returns
-// the shares of requests answered within the aim and never. load is the servers' utilization
-// with one attempt per request; with waits no attempt is given up early.
-func simulate(load, lost float64, waits bool) (inAim, never float64) {
+// the shares of requests answered within the target latency and never. load is the servers'
+// utilisation with one attempt per request; with waits no attempt is given up early.
+func simulate(load, lost float64, waits bool) (inTarget, never float64) {
 	const (
 		servers = 10
 		work    = 60 * time.Millisecond
-		aim     = 300 * time.Millisecond
+		target  = 300 * time.Millisecond
 		limit   = 1500 * time.Millisecond
 	)
 	r := rand.New(rand.NewPCG(5, 1))
@@ -88,7 +88,7 @@
 		}
 		end := begin.Add(time.Duration((0.5 + r.Float64()) * float64(work)))
 		gone := r.Float64() < lost
-		wait, ok := Timeout(Attempt{Within: times.Within("s"), TargetLatency: aim, Remaining: limit - t.at.Sub(t.came), AttemptsLeft: 1 - t.try})
+		wait, ok := Timeout(Attempt{Within: times.Within("s"), TargetLatency: target, Remaining: limit - t.at.Sub(t.came), AttemptsLeft: 1 - t.try})
 		if !waits && ok && (gone || end.Sub(t.at) > wait) && moves.TakeExtra(t.at.Add(wait), 1) {
 			if begin.Before(t.at.Add(wait)) {
 				free[server] = end // The server had started the request before the caller gave up.
@@ -105,7 +105,7 @@
 		times.Add("s", end.Sub(t.at))
 		if took := end.Sub(t.came); took <= limit {
 			served++
-			if took <= aim {
+			if took <= target {
 				good++
 			}
 		}
@@ -117,18 +117,18 @@
 // worse.
 func TestRetriesUnderLoad(t *testing.T) {
 	for _, load := range []float64{0.4, 0.7, 1.2, 2} {
-		inAim, never := simulate(load, 0, false)
-		inAimWaits, neverWaits := simulate(load, 0, true)
-		t.Logf("load %.1f, nothing lost: in aim %.3f for %.3f, never %.3f for %.3f", load, inAim, inAimWaits, never, neverWaits)
-		require.GreaterOrEqual(t, inAim, inAimWaits-0.02, load)
+		inTarget, never := simulate(load, 0, false)
+		inTargetWaits, neverWaits := simulate(load, 0, true)
+		t.Logf("load %.1f, nothing lost: in target %.3f for %.3f, never %.3f for %.3f", load, inTarget, inTargetWaits, never, neverWaits)
+		require.GreaterOrEqual(t, inTarget, inTargetWaits-0.02, load)
 		require.LessOrEqual(t, never, neverWaits+0.02, load)
 		if load > 1 {
 			continue
 		}
-		inAim, never = simulate(load, 0.18, false)
-		inAimWaits, neverWaits = simulate(load, 0.18, true)
-		t.Logf("load %.1f, 18 in 100 lost: in aim %.3f for %.3f, never %.3f for %.3f", load, inAim, inAimWaits, never, neverWaits)
-		require.Greater(t, inAim, inAimWaits+0.05, load)
+		inTarget, never = simulate(load, 0.18, false)
+		inTargetWaits, neverWaits = simulate(load, 0.18, true)
+		t.Logf("load %.1f, 18 in 100 lost: in target %.3f for %.3f, never %.3f for %.3f", load, inTarget, inTargetWaits, never, neverWaits)
+		require.Greater(t, inTarget, inTargetWaits+0.05, load)
 		require.Less(t, never, neverWaits/3, load)
 	}
 }
--- a/policy/picker/prefix.go
+++ b/policy/picker/prefix.go
@@ -14,9 +14,9 @@
 	// The confidence that an endpoint holds a prefix depends on the source of the
 	// information.
 	confirmedConfidence = 1.0 // from a cache event or an answer's count of cached tokens
-	assumedConfidence   = 0.8 // from an own dispatch, after which the prefix stays cached for a while
+	assumedConfidence   = 0.8 // from a dispatch of this VM: the prefix stays cached for a time
 	doubtedConfidence   = 0.4 // after a later event of the endpoint was lost
-	ringConfidence      = 0.3 // from the ring, by which other VMs send the prefix to the same endpoint
+	ringConfidence      = 0.3 // from the ring, which names the same endpoint on other VMs
 )
 
 // CacheEvent is a cache event of an endpoint. Events may be late, and some may be lost.
--- a/policy/picker/table.go
+++ b/policy/picker/table.go
@@ -153,7 +153,7 @@
 			t.prefixes.invalidate(e)
 		}
 		if !e.pausedUntil.IsZero() {
-			e.pausedUntil = time.Unix(0, 0) // the cause of the pause is gone, so the next Pick ends it
+			e.pausedUntil = time.Unix(0, 0) // the next Pick ends the pause, whose cause is gone
 		}
 		e.limit.SetCold(cold)
 	})
--- a/policy/placement/doc.go
+++ b/policy/placement/doc.go
@@ -10,21 +10,22 @@
 // endpoint that refuses connections immediately always has the least work under way and
 // attracts all requests.
 //
-// The load that other VMs have placed is set just before a choice. Without it dozens of VMs,
-// each with a small part of the requests, choose nearly at random, and streams queue at one
-// engine while others are idle.
+// The load that other VMs have placed is set just before a choice (Table.SetPeerLoad). Without
+// it dozens of VMs, each with a small part of the requests, choose nearly at random, and streams
+// queue at one engine while others are idle.
 //
-// The failures that all VMs observed are set too, since with hundreds of VMs each one sees an
-// endpoint too seldom to judge it. An endpoint that fails a larger share of its requests than
-// is usual in its pool costs more; one whose address is answered by another incarnation is
-// avoided.
+// The failures that all VMs observed are set too (Table.SetRecords), since with hundreds of VMs
+// each one sees an endpoint too seldom to judge it. An endpoint that fails a larger share of its
+// requests than is usual in its pool costs more; one whose address is answered by another
+// incarnation is avoided.
 //
-// A choice minimizes the estimated work ahead of the request. The two endpoints that rank first
+// A choice minimises the estimated work ahead of the request. The two endpoints that rank first
 // for the hash of the shared prefix, the same on each VM, are preferred unless the least loaded
 // endpoint saves more than reading the prefix again would cost.
 //
 // In pools of more than 200 endpoints a choice looks at a sample, so that its cost stays
-// constant. The time to a request's first event can be estimated without placing the request.
+// constant. The time to a request's first event can be estimated without placing the request
+// (Table.EstimateWait).
 //
 // The package has no network and no clock; time and randomness are arguments.
 //
--- a/policy/placement/pace.go
+++ b/policy/placement/pace.go
@@ -15,7 +15,7 @@
 	// time and the engine's first step dominate.
 	minWorkAhead = 20.0
 	// maxSampleRatio bounds one request's time per unit as a multiple of the average, so that
-	// one slow or frozen engine does not distort the estimate for the others.
+	// one slow or suspended engine does not distort the estimate for the others.
 	maxSampleRatio = 4
 )
 
--- a/policy/placement/record.go
+++ b/policy/placement/record.go
@@ -89,7 +89,6 @@
 	ID string
 	// Failing is the share of its requests that the endpoint fails beyond what is usual in its
 	// service.
-	// Failing is the share of its requests that it fails beyond what is usual in its service.
 	Failing   float64
 	OtherLife bool
 }
--- a/policy/placement/table.go
+++ b/policy/placement/table.go
@@ -11,7 +11,7 @@
 )
 
 // affinityReplicas is the number of endpoints preferred for a shared prefix: the second one
-// serves a prefix in demand when the first is busy or gone.
+// serves a prefix in demand when the first is busy or removed.
 const affinityReplicas = 2
 
 // Request holds the inputs of a choice.
@@ -275,15 +275,17 @@
 	*c.work = c.workAfterPrompt
 }
 
-// EndpointLoad is what VMs tell each other about an endpoint.
+// EndpointLoad is the load that one VM, or the other VMs together, have at an endpoint. VMs
+// report it to each other.
 type EndpointLoad struct {
-	// Work is the VM's work under way there.
+	// Work is the work under way there, in requests.
 	Work float64
 	// Avoided says that the endpoint is lost or recently broke or refused connections.
 	Avoided bool
 }
 
-// LocalLoad returns this VM's shares, by endpoint ID.
+// LocalLoad returns this VM's load, by endpoint ID. Endpoints without load that are not avoided
+// are left out.
 func (t *Table) LocalLoad(now time.Time) map[string]EndpointLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -298,7 +300,7 @@
 	return out
 }
 
-// SetPeerLoad sets the combined shares of the other VMs by the endpoints' short names
+// SetPeerLoad sets the combined load of the other VMs by the endpoints' short names
 // (rendezvous.Hash.Short). Endpoints that are not named have none.
 func (t *Table) SetPeerLoad(now time.Time, shares map[uint32]EndpointLoad) {
 	t.mu.Lock()
--- a/policy/poison/poison.go
+++ b/policy/poison/poison.go
@@ -13,7 +13,7 @@
 //   - Quarantine requires crashes of several different endpoints (DistinctLarge or
 //     DistinctSmall) and Threshold units of blame.
 //   - A suspect, which was in flight at a crash and has not completed since, runs apart
-//     from other suspects, so that one crash never adds blame to two of them. Suspect
+//     from other suspects, so that one crash never adds blame to two of them. IsSuspect
 //     serves as a filter when an endpoint is picked.
 //   - When other endpoints crash at about the same time without the request, the pool
 //     itself is failing, and the request's blame counts for less, including the blame
@@ -63,8 +63,8 @@
 // Fingerprint identifies a request by its account, target and body.
 type Fingerprint uint64
 
-// NewFingerprint returns the fingerprint of a request. account and target (a model or service)
-// distinguish equal bodies of different accounts.
+// NewFingerprint returns the fingerprint of a request. Equal bodies of different accounts or
+// targets (models or services) have different fingerprints.
 func NewFingerprint(account, target string, body []byte) Fingerprint {
 	var d xxhash.Digest
 	d.Reset()
@@ -168,8 +168,8 @@
 	return r != nil && r.survived == 0 && now.Sub(r.last) <= recordLifetime
 }
 
-// RecordCrash distributes the blame for the crash of an endpoint over the requests that this
-// VM had in flight there. Blame is kept by the name of the endpoint, so that a crash seen
+// RecordCrash distributes the blame for the crash of an endpoint over the requests that this VM
+// had in flight there. Blame is kept by the name of the endpoint, so that a crash seen
 // by several VMs counts once, and so does an endpoint that crashes repeatedly for its own
 // reasons. others is the number of requests of other VMs that ran there according to the
 // endpoint's last report; they take their part of the blame.
--- a/policy/rollout/counts.go
+++ b/policy/rollout/counts.go
@@ -56,12 +56,12 @@
 }
 
 // Totals sums the reports of all sources. For each source and count, Totals keeps
-// the largest value reported. A VM's counts only grow. A data centre's counts
-// shrink when its first VM is replaced, because the counts of VMs that are gone are
-// lost with it; each report is still a part of the events that took place. A total
-// therefore never shrinks; a window of the comparison that began before would
-// otherwise hold a negative number of events. The reports of a source are kept when
-// the source is gone.
+// the largest value reported. A VM's counts only grow. A data centre's counts shrink
+// when the VM that aggregates them is replaced, because the counts of VMs that no
+// longer run are lost with it; each report is still a part of the events that took
+// place. A total therefore never shrinks; a window of the comparison that began
+// before would otherwise hold a negative number of events. The reports of a source
+// are kept when the source no longer reports.
 //
 // Totals is not safe for concurrent use.
 type Totals struct {
--- a/policy/rollout/evaluate.go
+++ b/policy/rollout/evaluate.go
@@ -156,8 +156,8 @@
 }
 
 // strongestFinding returns the finding that is nearest to its limit or furthest
-// above it. LikelyWorse is taken from the whole epoch, because in a short window it
-// is often set by chance.
+// above it; one with Worse set takes precedence. LikelyWorse is taken from the whole
+// epoch, because in a short window it is often set by chance.
 func strongestFinding(comparisons []comparison, compare func(comparison) Finding) Finding {
 	best := compare(comparisons[0])
 	likelyWorse := best.LikelyWorse
--- a/policy/rollout/rollout_test.go
+++ b/policy/rollout/rollout_test.go
@@ -170,10 +170,10 @@
 	})
 }
 
-// When the first VM of a data centre is replaced, its successor lacks the counts of
-// the VMs that are gone, and may exceed the earlier report in requests before it
-// does in errors. If a count shrank, the difference to a window's start would wrap
-// around and a good version would look extremely bad.
+// When the aggregating VM of a data centre is replaced, its successor lacks the
+// counts of the VMs that no longer run, and may exceed the earlier report in requests
+// before it does in errors. If a count shrank, the difference to a window's start
+// would wrap around and a good version would look extremely bad.
 func TestTotalsNeverShrink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
--- a/policy/silence/silence.go
+++ b/policy/silence/silence.go
@@ -24,7 +24,8 @@
 
 // Values of Verdict.
 const (
-	// Alive: the endpoint answered, or something was received from it meanwhile.
+	// Alive: the endpoint answered, something was received from it meanwhile, or no request
+	// waits there any more.
 	Alive Verdict = iota
 	// Unsure: the endpoint must be probed again immediately.
 	Unsure
@@ -110,8 +111,8 @@
 	}
 }
 
-// DueProbes returns the addresses to probe now. The result of each probe must be reported to the
-// detector.
+// DueProbes returns the addresses to probe now. The result of each probe must be reported by
+// ProbeDone.
 func (d *Detector) DueProbes(now time.Time) (out []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,8 +132,9 @@
 	return out
 }
 
-// ProbeDone records the result of a probe that started at began. late says that this VM itself was
-// delayed meanwhile, so that a missing answer says nothing about the endpoint.
+// ProbeDone records the result of a probe that started at began. answered says that the endpoint
+// accepted or refused the connection. late says that this VM itself was delayed meanwhile, so
+// that a missing answer says nothing about the endpoint.
 func (d *Detector) ProbeDone(began, now time.Time, address string, answered, late bool) Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/policy/sizing/load_test.go
+++ b/policy/sizing/load_test.go
@@ -44,7 +44,7 @@
 // simulate sends 20 s of prompts of widely differing sizes to engines that read one prompt
 // after another, by the smallest model and, if the rule escalates, by the largest. It returns
 // the mean worth of the answers. Answers take longer the more slots are in use, and a request
-// waits for a slot. load is the utilization of the engines if all weak answers were escalated.
+// waits for a slot. load is the utilisation of the engines if all weak answers were escalated.
 // With crash, answers that are incomplete at the end are lost.
 func simulate(load float64, crash bool, slots int, escalates escalationRule) float64 {
 	r := rand.New(rand.NewPCG(11, 3))
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -50,10 +50,10 @@
 	// slots wait.
 	maxLowUse  = 0.5
 	maxHighUse = 0.8
-	// maxAimShare is the share of the target latency within which the larger model's first
+	// maxTargetShare is the share of the target latency within which the larger model's first
 	// event must be expected. Later ones miss the target too often, and a lower share excludes
 	// the largest prompts even if nothing waits.
-	maxAimShare = 0.8
+	maxTargetShare = 0.8
 	// minLeftShare is the share of a caller's time that must be left for another model.
 	minLeftShare = 0.5
 )
@@ -82,7 +82,7 @@
 	Known      bool
 	// Spent is the time since the request arrived, Wait the time it would wait for other
 	// requests' work at the best endpoint, and Read the time that the largest model takes to
-	// read it. Aim is the target latency of its first event; 0 if unknown.
+	// read it. TargetLatency is the target latency of its first event; 0 if unknown.
 	Spent, Wait, Read, TargetLatency time.Duration
 	// Running is the number of requests that run or wait at the endpoint, as reported with the
 	// answer, and Slots the number it runs at once; 0 if unknown.
@@ -93,8 +93,8 @@
 	Left, Total time.Duration
 }
 
-// NextModel returns the index of the model to use, and whether to ask it in place of the one that
-// answered.
+// NextModel returns the index of the model to use, and whether to ask it in place of the one
+// that answered.
 func NextModel(s Input) (int, bool) {
 	last := len(s.Models) - 1
 	if !s.Known || s.Current >= last || s.AttemptsLeft < 1 {
@@ -111,7 +111,7 @@
 func (s Input) threshold() float64 {
 	pressure := s.slotPressure()
 	if s.TargetLatency > 0 {
-		if float64(s.Spent+s.Wait+s.Read) > maxAimShare*float64(s.TargetLatency) {
+		if float64(s.Spent+s.Wait+s.Read) > maxTargetShare*float64(s.TargetLatency) {
 			return busyThreshold
 		}
 		pressure = max(pressure, ramp(float64(s.Wait)/float64(s.TargetLatency), lowWaitShare, highWaitShare))
--- a/policy/sizing/sizing_test.go
+++ b/policy/sizing/sizing_test.go
@@ -33,7 +33,7 @@
 		"half full":           {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 26, 64, 10 }), 2, true},
 		"few slots in use":    {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 8, 16, 54 }), 2, true},
 		"few slots, queue":    {with(func(s *Input) { s.Running, s.Slots, s.Confidence = 20, 16, 5 }), 2, false},
-		"no aim":              {with(func(s *Input) { s.Wait = time.Hour }), 2, true},
+		"no target latency":   {with(func(s *Input) { s.Wait = time.Hour }), 2, true},
 		"late by prompt size": {with(func(s *Input) { s.TargetLatency, s.Read = 2*time.Second, 1700*time.Millisecond }), 2, false},
 		"late by time spent":  {with(func(s *Input) { s.TargetLatency, s.Spent, s.Read = 2*time.Second, time.Second, time.Second }), 2, false},
 		"large but in time":   {with(func(s *Input) { s.TargetLatency, s.Read, s.Confidence = 2*time.Second, 1500*time.Millisecond, 54 }), 2, true},
--- a/policy/trial/trial.go
+++ b/policy/trial/trial.go
@@ -69,8 +69,8 @@
 	Worse bool `cbor:"3,keyasint,omitempty"`
 }
 
-// SessionShare returns the share of sessions that try a new version, for the exposure that operators
-// allow over the whole roll-out.
+// SessionShare returns the share of sessions that try a new version, for the exposure that
+// operators allow over the whole roll-out. It is at most one half.
 func SessionShare(exposure float64) float64 { return min(exposureFactor*exposure, 0.5) }
 
 // Trial is one VM's view of a roll-out in progress. It is safe for concurrent use. The argument
@@ -107,8 +107,8 @@
 	return c
 }
 
-// SetPeerCounts stores another VM's counts. The older of two ages is the better estimate of the time
-// since the order.
+// SetPeerCounts stores another VM's counts. The older of two ages is the better estimate of the
+// time since the order.
 func (t *Trial) SetPeerCounts(now time.Duration, source string, age time.Duration, c Counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,10 +193,11 @@
 	return Undecided, ""
 }
 
-// MayStopOld reports whether the old version may be stopped, a time moving after the new one got all
-// requests. If the old version stops at once, its endpoints cut off the answers under way; and
-// if the operators order the next version right after, sessions that just used the old version
-// change versions for no reason in the new order.
+// MayStopOld reports whether the old version may be stopped; moving is the time since the new
+// version got all requests. It must reach a session's longest pause, or completeShare of the
+// roll-out's time must have passed. If the old version stops at once, its endpoints cut off the
+// answers under way; and if the operators order the next version right after, sessions that just
+// used the old version change versions for no reason in the new order.
 func (t *Trial) MayStopOld(now, moving time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,7 +205,8 @@
 }
 
 // acceptable reports whether the new version's rate of bad answers exceeds the old one's by no
-// more than the tolerated difference or one standard error of a rate from so few answers.
+// more than the tolerated difference or one standard error of a rate from so few answers. It is
+// false if the old version has no answers.
 func acceptable(from, to rollout.Tally) bool {
 	if from.Requests == 0 {
 		return false
--- a/policy/trial/trial_test.go
+++ b/policy/trial/trial_test.go
@@ -130,10 +130,10 @@
 		}
 	}
 	for name, p := range map[string]simulation{
-		"errors":       {newFails: third(true, false, 0)},
-		"slow":         {newFails: third(false, true, 0)},
-		"late":         {newFails: third(true, false, 9*time.Second)},
-		"in a trouble": {newFails: third(true, false, 0), oldFails: 0.15},
+		"errors":               {newFails: third(true, false, 0)},
+		"slow":                 {newFails: third(false, true, 0)},
+		"late":                 {newFails: third(true, false, 9*time.Second)},
+		"with a general fault": {newFails: third(true, false, 0), oldFails: 0.15},
 	} {
 		t.Run(name, func(t *testing.T) {
 			taken, worst := 0, 0
--- a/policy/versiontest/cascade.go
+++ b/policy/versiontest/cascade.go
@@ -168,7 +168,7 @@
 	}
 	plan, err := p.strategy.Learner.Plan(p.account, p.chain, req, p.now, p.rng)
 	if err != nil {
-		panic(err) // Plan only fails for spend caps and forbidden versions, which the mix doesn't have
+		panic(err) // Plan only fails for spend caps and forbidden versions; the mix has none
 	}
 	spent := int64(0)
 	for i, step := range plan.Steps {
--- a/policy/watching/outage.go
+++ b/policy/watching/outage.go
@@ -9,7 +9,7 @@
 	// RetryDelay is the time after which a failed call is repeated.
 	RetryDelay = 100 * time.Millisecond
 	// turnInterval is the time between two tries of a VM, over all kinds, to get the state from
-	// other VMs: each try is some round trips within the data centres.
+	// other VMs. Each try takes some round trips within the data centres.
 	turnInterval = 200 * time.Millisecond
 	// claimDuration is how long one kind may call the platform for all kinds. A call is short
 	// and times out after a second.
@@ -23,7 +23,7 @@
 	rankDivisor = 4
 	// maxCallInterval bounds the interval: a VM that alone reaches the platform, or finds no
 	// other VM, recovers within it. The first 36 VMs call more often, 18 times per second
-	// together; each hundred more add 20 calls.
+	// together; each hundred more add 20 calls per second.
 	maxCallInterval = 5 * time.Second
 )
 
@@ -85,7 +85,8 @@
 	MayCall bool
 }
 
-// NextTurn returns the turn of a caller and takes it if it is due. It calls rank only in an outage.
+// NextTurn returns the turn of a caller and takes it if it is due. It calls rank only in an
+// outage.
 func (o *Outage) NextTurn(now time.Duration, rank func() int) Turn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/policy/watching/peers.go
+++ b/policy/watching/peers.go
@@ -16,8 +16,8 @@
 	// milliseconds.
 	backupWatchers = 2
 	// takeOverDelay is how long a VM must rank among the first before it watches: among 91 VMs
-	// some of those ranked before it seem absent for a moment. A VM whose source fails starts
-	// to watch at once.
+	// some of those ranked before it seem absent for a moment. If the VM's source fails meanwhile,
+	// the VM starts to watch at once.
 	takeOverDelay = 2 * time.Second
 	// minBackoff is how long a VM is not read after its feed failed; the time doubles with each
 	// failure in a row. After a reset connection the next try succeeds, while each try at a VM
--- a/policy/watching/watching_test.go
+++ b/policy/watching/watching_test.go
@@ -58,7 +58,8 @@
 
 // Guards against calls in bursts: the VMs ranked first seem absent for a moment, as some of 91
 // always do. If the next VM switches to watching, its readers get no state for as long as a
-// watch waits, and they and their readers call the platform, 25 at a time.
+// watch waits, and they and their readers call the platform, 25 at a time. It must keep its
+// source for takeOverDelay, and watch at once if the source fails.
 func TestBriefRankChangeKeepsSource(t *testing.T) {
 	ranked := fleet(91)
 	now := time.Minute
@@ -119,8 +120,8 @@
 }
 
 // Guards against a burst of calls in an outage of ten seconds, with four kinds on each of 91
-// VMs. A few dozen calls reach the platform per second, each VM makes five tries per second,
-// and no VM goes longer than maxCallInterval plus a turn without a call.
+// VMs. At most 40 calls reach the platform per second, each VM makes at most five tries per
+// second, and no VM goes longer than maxCallInterval plus a turn without a call.
 func TestOutagePacesCalls(t *testing.T) {
 	const vms, kinds, length = 91, 4, 10 * time.Second
 	asked, turns := 0, 0
@@ -161,7 +162,7 @@
 	o.Regained()
 	require.True(t, o.Claim(now+claimDuration))
 	o.Lost(now+claimDuration, 200)
-	require.False(t, o.Claim(now+2*claimDuration), "calls depend on Turn now")
+	require.False(t, o.Claim(now+2*claimDuration), "calls depend on NextTurn now")
 }
 
 // When one kind gets state, the kinds that waited for it continue at once.
