--- a/gateway/catalog/config.go
+++ b/gateway/catalog/config.go
@@ -39,12 +39,12 @@
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout bounds a request's time; 0 for no bound.
+	// Timeout bounds how long a caller is kept waiting for its answer; 0 for no bound.
 	Timeout time.Duration
 	// Target is the time within which an answer is on time; for a stream, the time to its first
 	// event.
 	Target time.Duration
-	// MaxAttempts bounds the endpoints that may run one request.
+	// MaxAttempts bounds the attempts at one request that ran or may have run.
 	MaxAttempts int
 	// Priority is the rank of the route's requests; 0 is the most urgent.
 	Priority int
--- a/gateway/catalog/endpoint.go
+++ b/gateway/catalog/endpoint.go
@@ -27,8 +27,8 @@
 // The states of a roll-out.
 const (
 	RollOutRunning RollOutState = "running"
-	// RollOutMoving: the new version was accepted and gets all requests; the old version's
-	// endpoints still finish theirs.
+	// RollOutMoving means that the new version was accepted and gets all requests, while the old
+	// version's endpoints still finish theirs.
 	RollOutMoving     RollOutState = "moving"
 	RollOutCompleted  RollOutState = "completed"
 	RollOutRolledBack RollOutState = "rolled-back"
--- a/gateway/explain/explain.go
+++ b/gateway/explain/explain.go
@@ -100,10 +100,10 @@
 
 // resultTexts describes each result of an attempt.
 var resultTexts = map[string]string{
-	"ok": "answered whole", "weak": "answered, dropped for a larger model", "full": "refused for want of room, did not run",
-	"misdirected": "another instance of the endpoint is at its address, did not run", "unreached": "took no connection",
+	"ok": "answered whole", "weak": "answered, dropped for a larger model", "full": "refused for lack of capacity, did not run",
+	"misdirected": "another incarnation of the endpoint is at its address, did not run", "unreached": "took no connection",
 	"broken": "its connection broke after the request was sent", "cut": "its answer broke off", "unsound": "answered with what is not its answer to this request",
-	"error": "answered with an error", "rejected": "rejected the request itself", "ended": "was still at it when the caller left or the time was over",
+	"error": "answered with an error", "rejected": "rejected the request itself", "ended": "was still running when the caller left or the time was over",
 }
 
 // Write explains the request with the given id and reports whether the log has it.
--- a/gateway/explain/moves.go
+++ b/gateway/explain/moves.go
@@ -10,17 +10,19 @@
 	"time"
 )
 
-// Move is a request that ran on another version than the previous request of its session.
+// Move is a request that ran on another version than the previous request of its session. If
+// Before and After are the same request, its own attempts ran on different versions.
 type Move struct {
 	Before, After Line
 	From, To      string
 	// Gap is the time from the end of the previous request to the start of this one; negative if
-	// that one was still under way.
+	// that one was still in progress.
 	Gap time.Duration
 }
 
 // Moves returns the requests of all VMs that started less than pause after the end of the
-// previous request in their session and ran on another version.
+// previous request in their session and ran on another version, and those whose own attempts
+// ran on different versions.
 func (l *Log) Moves(pause time.Duration) []Move {
 	sessions := make(map[string][]Line)
 	for _, line := range l.Lines {
@@ -50,7 +52,7 @@
 		before := lines[i-1]
 		ran := strings.Fields(before.Versions)
 		last, gap := ran[len(ran)-1], line.start().Sub(before.Time)
-		// The line of a request that was still under way doesn't say which version it had reached
+		// The line of a request that was still in progress doesn't say which version it had reached
 		// by then.
 		differs := last != versions[0]
 		if gap < 0 {
--- a/gateway/explain/moves_test.go
+++ b/gateway/explain/moves_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a move between versions that the logs of several VMs don't show.
+// Guards against a session's move between versions that Moves misses, since the lines of its
+// requests are in the logs of several VMs.
 func TestMovesOfSessions(t *testing.T) {
 	const lines = `
 {"vm":"a","request":"r1","took_ms":1000,"session":"s1","versions":"v1","time":"2026-01-02T03:04:05.000Z","message":"request"}
--- a/gateway/forward/admit_test.go
+++ b/gateway/forward/admit_test.go
@@ -23,8 +23,8 @@
 }
 
 // The VM has lost the platform. A path or key may have been added since then, so nothing is
-// denied once the configuration is older than MaxDenyConfigAge. A key may have been revoked, so none
-// is accepted after MaxKeyConfigAge. Anonymous routes go on.
+// denied once the configuration is older than MaxDenyConfigAge. A key may have been revoked, so
+// none is accepted after MaxKeyConfigAge. Anonymous routes are still served.
 func TestConfigurationAge(t *testing.T) {
 	w := newTestEnv(t, 1)
 	for _, c := range []struct {
@@ -139,15 +139,15 @@
 func TestStartedVMHoldsRequests(t *testing.T) {
 	w := newTestEnv(t, 1)
 	config := w.state.config
-	w.state.known, w.state.config = make(chan struct{}), nil
+	w.state.loaded, w.state.config = make(chan struct{}), nil
 	w.handler.started = time.Now().Add(time.Minute)
 	var once sync.Once
-	w.state.onKnown = func() {
+	w.state.onLoaded = func() {
 		go once.Do(func() {
 			w.state.mu.Lock()
 			defer w.state.mu.Unlock()
 			w.state.config = config
-			close(w.state.known)
+			close(w.state.loaded)
 		})
 	}
 	require.Equal(t, http.StatusOK, w.send(http.MethodGet, "/safe/a", "").status)
@@ -157,7 +157,7 @@
 func TestVMWithoutConfigurationRefuses(t *testing.T) {
 	for name, started := range map[string]time.Time{"long ago": {}, "just now, no time": time.Now().Add(time.Hour)} {
 		w := newTestEnv(t, 1)
-		w.state.known, w.state.config = make(chan struct{}), nil
+		w.state.loaded, w.state.config = make(chan struct{}), nil
 		w.handler.started = started
 		r := w.send(http.MethodGet, "/safe/a", "", testNames.Deadline, "40")
 		require.Equal(t, http.StatusServiceUnavailable, r.status, name)
--- a/gateway/forward/call.go
+++ b/gateway/forward/call.go
@@ -38,7 +38,7 @@
 	model          int      // index in the route's models, smallest first
 	tried          []string // endpoints that got the request or refused the connection
 	possibleRuns   int      // attempts that ran or may have run
-	misdirected    int      // endpoints that refused as another incarnation than the one expected; they ran nothing
+	misdirected    int      // endpoints that refused as an unexpected incarnation; they ran nothing
 	atCapacity     int      // endpoints that refused for lack of capacity; they ran nothing
 	failedDials    int      // connections that could not be established
 	status         int      // status code of the answer that was passed on
@@ -47,7 +47,9 @@
 	attemptRecords []attemptRecord
 	pin            Pin          // nil before the service is known
 	rationale      ChoiceReason // reason for the last choice of a version
-	sizingNote     string       // confidence and load of the last answer with the estimate for a larger model, for the log
+	// sizingNote holds, for the log, the last answer's confidence and load and the estimate for the
+	// largest model.
+	sizingNote string
 }
 
 // attemptRecord is one attempt in the request's log line.
--- a/gateway/forward/handler.go
+++ b/gateway/forward/handler.go
@@ -86,11 +86,11 @@
 	Load     LoadExchange
 	Metrics  *Metrics
 	Log      zerolog.Logger
-	// MaxKeyConfigAge returns the configuration age (State.ConfigAge) up to which keys are accepted. A
-	// key may have been revoked since then.
+	// MaxKeyConfigAge returns the configuration age (State.ConfigAge) up to which keys are
+	// accepted. A key may have been revoked since the configuration was confirmed.
 	MaxKeyConfigAge func() time.Duration
-	// MaxDenyConfigAge is the configuration age up to which the VM answers that a path or key does not
-	// exist. It may have been added since then.
+	// MaxDenyConfigAge is the configuration age up to which the VM answers by itself that a path
+	// or key does not exist. It may have been added since the configuration was confirmed.
 	MaxDenyConfigAge time.Duration
 }
 
@@ -123,7 +123,8 @@
 type Attempt struct {
 	Service, Endpoint, Address string
 	Fingerprint                uint64
-	// Survived is set if the endpoint gave a complete answer, ConnectionBroke if its connection broke.
+	// Survived is set if the endpoint gave a complete answer, ConnectionBroke if its connection
+	// broke.
 	Survived, ConnectionBroke bool
 }
 
@@ -137,8 +138,8 @@
 	started      time.Time
 }
 
-// New returns a handler for a configuration. Requests that arrive shortly afterwards wait until
-// State is known.
+// New returns a handler with the given dependencies and limits. Requests that arrive within
+// startupHold wait until State.Loaded is closed.
 func New(cfg Config) *Handler { return &Handler{cfg: cfg, overdue: newOverdue(), started: time.Now()} }
 
 // Stop makes each further answer the last one on its connection. Streams that arrive after
--- a/gateway/forward/harness_test.go
+++ b/gateway/forward/harness_test.go
@@ -57,11 +57,11 @@
 }
 
 type fakeState struct {
-	mu      sync.Mutex
-	known   chan struct{}
-	onKnown func() // called by Loaded; may be nil
-	config  *catalog.Config
-	age     time.Duration
+	mu       sync.Mutex
+	loaded   chan struct{}
+	onLoaded func() // called by Loaded; may be nil
+	config   *catalog.Config
+	age      time.Duration
 }
 
 func (s *fakeState) Config() *catalog.Config {
@@ -71,10 +71,10 @@
 }
 
 func (s *fakeState) Loaded() <-chan struct{} {
-	if s.onKnown != nil {
-		s.onKnown()
+	if s.onLoaded != nil {
+		s.onLoaded()
 	}
-	return s.known
+	return s.loaded
 }
 
 func (s *fakeState) ConfigAge() time.Duration {
@@ -145,7 +145,7 @@
 // newTestEnv starts a VM with n endpoints of one service and a route of each kind.
 func newTestEnv(t testing.TB, n int) *testEnv {
 	t.Helper()
-	w := &testEnv{t: t, table: placement.New("a"), state: &fakeState{known: make(chan struct{})}, versions: &fakeVersions{}, budget: &fakeBudget{}, poison: &fakePoison{crashes: map[uint64]int{}}}
+	w := &testEnv{t: t, table: placement.New("a"), state: &fakeState{loaded: make(chan struct{})}, versions: &fakeVersions{}, budget: &fakeBudget{}, poison: &fakePoison{crashes: map[uint64]int{}}}
 	branch := []catalog.WeightedService{{Service: "s", Weight: 1}}
 	routes := []*catalog.Route{
 		{Name: "once", Host: "h", Prefix: "/once/", Kind: catalog.NonIdempotent, MaxAttempts: 3, Services: branch, Timeout: time.Minute},
@@ -170,7 +170,7 @@
 		Budget: w.budget, Poison: w.poison, Load: noLoad{}, Metrics: NewMetrics(registry), Log: zerolog.Nop(),
 		MaxKeyConfigAge: func() time.Duration { return 4 * time.Second }, MaxDenyConfigAge: 2 * time.Second,
 	})
-	close(w.state.known)
+	close(w.state.loaded)
 	w.vmServer = httptest.NewServer(w.handler)
 	t.Cleanup(func() {
 		w.vmServer.Close()
@@ -302,8 +302,8 @@
 	}
 }
 
-// events answers with events first..last and then ends the stream, in the middle of an event if
-// cut is set.
+// events answers with events first..last and then ends the stream in an orderly way. If cut is
+// set, it breaks the connection in the middle of a further event.
 func events(first, last int, cut bool, head ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(testNames.Signature, "sig")
@@ -332,7 +332,7 @@
 	return b.String()
 }
 
-// noLoad implements LoadExchange for a single VM.
+// noLoad implements LoadExchange for a fleet of one VM, in which no other VM has work in progress.
 type noLoad struct{}
 
 func (noLoad) Refresh(context.Context) {}
--- a/gateway/forward/names.go
+++ b/gateway/forward/names.go
@@ -27,8 +27,8 @@
 	Signature string
 	// Confidence is the model's confidence in its answer, 0 to 100.
 	Confidence string
-	// Model is the model that the caller asks for. Parts are the prompt's parts as a list of
-	// ID:TOKENS.
+	// Model is the model that the caller asks for; towards an endpoint, the model that must run
+	// the request. PromptParts are the prompt's parts as a list of ID:TOKENS.
 	Model, PromptParts string
 	// Session identifies the conversation that a request belongs to.
 	Session string
--- a/gateway/node/listen.go
+++ b/gateway/node/listen.go
@@ -36,7 +36,7 @@
 	if err := n.serve(n.front, n.s.Front); err != nil {
 		return err
 	}
-	if err := n.serve(&http.Server{Handler: n.relays.Handler()}, n.self().Peer); err != nil {
+	if err := n.serve(&http.Server{Handler: n.feedTransport.Handler()}, n.self().Peer); err != nil {
 		return err
 	}
 	side := flow.New()
@@ -128,7 +128,7 @@
 		n.log.Info().Err(err).Msg("entry not deleted, other VMs will find this VM silent")
 	}
 	time.Sleep(time.Until(began.Add(min(stopAcceptTime, n.bounds().GracePeriod/2))))
-	n.handOverSessions() // sessions that VMs unaware of the stop asked for since
+	n.handOverSessions() // for sessions that VMs unaware of the stop asked for since
 	end, cancel2 := context.WithDeadline(ctx, deadline)
 	defer cancel2()
 	err := n.front.Shutdown(end)
--- a/gateway/node/load.go
+++ b/gateway/node/load.go
@@ -85,16 +85,16 @@
 
 // applyLoad applies the load that the other VMs report.
 func (n *Node) applyLoad(s tally.State) {
-	byMark := make(map[uint32]placement.EndpointLoad, len(s.Work)+len(s.Avoided))
+	byHash := make(map[uint32]placement.EndpointLoad, len(s.Work)+len(s.Avoided))
 	for _, e := range s.Work {
-		byMark[e.Endpoint] = placement.EndpointLoad{Work: float64(e.Work)}
+		byHash[e.Endpoint] = placement.EndpointLoad{Work: float64(e.Work)}
 	}
 	for _, m := range s.Avoided {
-		share := byMark[m]
+		share := byHash[m]
 		share.Avoided = true
-		byMark[m] = share
+		byHash[m] = share
 	}
-	n.table.SetPeerLoad(time.Now(), byMark)
+	n.table.SetPeerLoad(time.Now(), byHash)
 }
 
 // outcomes returns the results of this VM's attempts at the endpoints.
--- a/gateway/node/node.go
+++ b/gateway/node/node.go
@@ -77,8 +77,8 @@
 	readyMaxAge = 3200 * time.Millisecond
 	// holdMargin is subtracted from the drain bound for entries that are held after an outage.
 	holdMargin = 300 * time.Millisecond
-	// memoryLimitShare is the share of the memory limit from which the garbage collector runs
-	// more often.
+	// memoryShare is the share of the memory limit from which the garbage collector runs more
+	// often.
 	memoryShare = 0.7
 	// upkeepInterval is the time between checks of held entries, idle connections, sessions and
 	// roll-outs.
@@ -103,7 +103,7 @@
 	sourcePolicy   *sourcePolicy
 	suspects       *suspects
 	feeds          map[string]*view.Feed
-	relays         *view.FeedTransport
+	feedTransport  *view.FeedTransport
 	traffic        *datagram.Traffic
 	peersKnown     chan struct{} // closed when the VM knows the VMs that it may read from
 	peersKnownOnce sync.Once
@@ -111,7 +111,7 @@
 	front          *http.Server
 	stopping       atomic.Bool
 	rollOutsListed atomic.Bool // whether the roll-outs were listed
-	outListed      atomic.Bool
+	outListed      atomic.Bool // whether the data centres that are out were listed
 
 	// Values derived from the fleet's members, recomputed when they are older than fleetAge.
 	localKeepers, remoteKeepers cached[[]tally.Keeper]
@@ -134,7 +134,7 @@
 	for _, kind := range []string{kindConfig, kindEndpoints, kindRollOuts, kindDataCentresOut} {
 		n.feeds[kind] = view.NewFeed(bootClock, share(n.bound(kind), feedLimitShare))
 	}
-	n.relays = view.NewFeedTransport(n.feeds, registry)
+	n.feedTransport = view.NewFeedTransport(n.feeds, registry)
 	n.traffic = datagram.NewTraffic(registry)
 	var err error
 	n.gossip, err = gossip.Listen(gossip.Config{
@@ -256,13 +256,13 @@
 
 // follower returns a follower of a kind that reads from other VMs if the policy names some.
 func follower[T any](n *Node, kind string, source view.Source[T], apply func(view.Update[T])) *view.Follower[T] {
-	patience := time.Duration(0)
+	listTimeout := time.Duration(0)
 	if n.s.FirstStart {
-		patience = firstListTimeout
+		listTimeout = firstListTimeout
 	}
 	return &view.Follower[T]{
 		Kind: kind, Source: source, Wait: n.watchWait(kind), Clock: bootClock, Apply: apply, Log: n.log,
-		Feed: n.feeds[kind], Reader: n.relays, Policy: n.sourcePolicy, PeersKnown: n.peersKnown, PeerListTimeout: patience, PauseAfterList: pauseAfterList,
+		Feed: n.feeds[kind], Reader: n.feedTransport, Policy: n.sourcePolicy, PeersKnown: n.peersKnown, PeerListTimeout: listTimeout, PauseAfterList: pauseAfterList,
 	}
 }
 
@@ -278,7 +278,7 @@
 		n.view.ApplyDataCentresOut(u)
 		n.outListed.Store(true)
 	})
-	// Expensive lists at the restart of a whole fleet would grow with its size. A VM that has
+	// Without old lists the cost at the restart of a whole fleet grows with its size. A VM that has
 	// just started may learn the last roll-outs and data centres a moment later, but it must
 	// know the current keys and endpoints from its first request on.
 	orders.StaleList, out.StaleList = !n.s.FirstStart, !n.s.FirstStart
--- a/gateway/node/pins.go
+++ b/gateway/node/pins.go
@@ -13,16 +13,16 @@
 
 // Reasons for the choice of a version, as the log lines of requests give them.
 const (
-	whySettled    = "no-order-yet" // the order of another version isn't known yet
+	whyNoOrderYet = "no-order-yet" // the order of another version isn't known yet
 	whyNoRollOut  = "no-roll-out"
 	whyTaken      = "taken" // the new version gets, or got, all requests
 	whyTakenBack  = "taken-back"
 	whyTrial      = "trial"
 	whyNotInTrial = "not-in-trial"
 	whyWorse      = "worse"       // a VM judged the new version worse
-	whyBefore     = "not-exposed" // the trial has not begun on this VM
+	whyNotExposed = "not-exposed" // the trial has not begun on this VM
 	whyStays      = "stays"       // the session uses the old version
-	whyMoved      = "moved"       // to the new version, by a VM that learnt earlier that it is accepted
+	whyMoved      = "moved"       // to the new version, by a VM that knew earlier of its acceptance
 	whyNoKeeper   = "no-keeper"   // no VM that keeps the session answers
 )
 
@@ -151,7 +151,7 @@
 func (p *pin) chooseVersion(ctx context.Context, o *order) (forward.VersionChoice, forward.ChoiceReason) {
 	r := p.r
 	if v := r.n.view.OnlyVersion(p.service); v != "" {
-		return forward.VersionChoice{Version: v}, forward.ChoiceReason{Reason: whySettled}
+		return forward.VersionChoice{Version: v}, forward.ChoiceReason{Reason: whyNoOrderYet}
 	}
 	if o == nil {
 		return forward.VersionChoice{}, forward.ChoiceReason{Reason: whyNoRollOut}
@@ -176,11 +176,11 @@
 	return reason == whyTaken || reason == whyTrial || reason == whyMoved
 }
 
-// chooseInTrial sets the reason while the trial is under way: a session that uses a version
+// chooseInTrial sets the reason while the trial is in progress: a session that uses a version
 // stays there, and a session unknown to all keepers uses the new version where it is exposed.
 func (p *pin) chooseInTrial(ctx context.Context, o *order, why *forward.ChoiceReason) {
 	exposed := p.inTrial && o.trial.IsExposing(p.r.clock())
-	why.Reason = whyBefore
+	why.Reason = whyNotExposed
 	switch {
 	case o.trial.Worse():
 		why.Reason = whyWorse
@@ -233,7 +233,7 @@
 	return h.Value, ok
 }
 
-// openHolds returns the requests under way of a service as holds under its new order, since
+// openHolds returns the requests in progress of a service as holds under its new order, since
 // they began before the order was known. Callers hold r.mu.
 func (r *rollouts) openHolds(o *order) (out []sticky.Hold) {
 	for p := range r.open {
--- a/gateway/node/pins_test.go
+++ b/gateway/node/pins_test.go
@@ -145,7 +145,7 @@
 	take func(*fleetVM)
 }
 
-// open is a request under way.
+// open is a request in progress.
 type open struct {
 	end     time.Duration
 	session int
@@ -231,8 +231,8 @@
 	moves map[string]int
 }
 
-// simulation is a roll-out over 24 s with perS requests a second at random VMs. Half of the requests
-// continue a session.
+// simulation is a roll-out over 24 s with perS requests a second at random VMs. Half of the
+// requests continue a session.
 type simulation struct {
 	perS    float64
 	longest time.Duration // of a request
@@ -243,8 +243,8 @@
 	at, lag  time.Duration
 }
 
-// rollOutTime is the duration of a simulation's roll-out; no session may change version before half
-// of it.
+// rollOutTime is the duration of a simulation's roll-out; no session may change version before
+// half of it.
 const rollOutTime = 24 * time.Second
 
 // run returns the number of requests that changed version within a session, by "from to".
--- a/gateway/node/recent.go
+++ b/gateway/node/recent.go
@@ -14,7 +14,7 @@
 // the value is computed, since concurrent callers need the same value.
 type cached[T any] struct {
 	mu   sync.Mutex
-	at   time.Duration // Clock time of the computation; 0 for never
+	at   time.Duration // bootClock time of the computation; 0 for never
 	last T
 }
 
--- a/gateway/node/rollouts.go
+++ b/gateway/node/rollouts.go
@@ -41,7 +41,7 @@
 	// inUse holds the version of the last completed roll-out of each service.
 	inUse        map[string]string
 	usualSeconds map[string]float64
-	// open holds the requests under way whose sessions may use a new version.
+	// open holds the requests in progress whose sessions may use a new version.
 	open map[*pin]struct{}
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// updateOrders applies the orders and returns the sessions under way under new orders.
+// updateOrders applies the orders and returns holds for the requests in progress under new orders.
 func (r *rollouts) updateOrders() (open []sticky.Hold) {
 	now := r.clock()
 	r.mu.Lock()
@@ -168,7 +168,7 @@
 	Counts  trial.Counts  `cbor:"4,keyasint"`
 }
 
-// reports returns this VM's part of a datagram about the roll-outs under way.
+// reports returns this VM's part of a datagram about the roll-outs in progress.
 func (r *rollouts) reports(now time.Duration) (orders []rollOutReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,7 +189,7 @@
 	}
 }
 
-// tick advances the roll-outs under way; the VM that ranks first for a roll-out records its
+// tick advances the roll-outs in progress; the VM that ranks first for a roll-out records its
 // state.
 func (r *rollouts) tick(ctx context.Context) {
 	now := r.clock()
--- a/gateway/node/settings.go
+++ b/gateway/node/settings.go
@@ -8,7 +8,7 @@
 	IP         string
 	DataCentre string
 	Region     string
-	// Regions are the regions by data centre.
+	// Regions maps each data centre to its region.
 	Regions map[string]string
 	// Front, Ready and Directory are the listeners' addresses (ip:port) for callers, readiness
 	// checks and the directory of VMs; empty if not served.
--- a/gateway/node/suspects.go
+++ b/gateway/node/suspects.go
@@ -18,8 +18,8 @@
 	suspectTTL = 15 * time.Second
 	// maxSuspects bounds the requests of a service in one datagram, about 100 bytes each.
 	maxSuspects = 4
-	// poolSize is the size of a pool that the tracker assumes. With it, the tracker quarantines
-	// a request after crashes of three endpoints, as operators expect.
+	// poolSize is the number of endpoints that the trackers assume in every pool. With it, a
+	// tracker quarantines a request after crashes of three endpoints, as operators expect.
 	poolSize = 16
 )
 
@@ -30,7 +30,7 @@
 //
 // Lock order: suspects.mu, then those of the trackers, which are leaves.
 type suspects struct {
-	// connects reports whether an address takes a connection.
+	// connects reports whether an address accepts a new connection.
 	connects func(address string) bool
 
 	mu    sync.Mutex
@@ -113,7 +113,8 @@
 	s.pool(a.Service).tracker.RecordCrash(time.Now(), a.Endpoint, inFlight, 0)
 }
 
-// recentCrashes returns the requests that were present at recent crashes, for other VMs.
+// recentCrashes returns the requests that were in flight at recent crashes, by service, for
+// other VMs.
 func (s *suspects) recentCrashes() map[string][]poison.Count {
 	now := time.Now()
 	s.mu.Lock()
--- a/gateway/node/watchers_test.go
+++ b/gateway/node/watchers_test.go
@@ -58,7 +58,7 @@
 
 // Guards against a configuration that is already old when the platform fails, since keys are
 // then refused that much sooner.
-func TestConfigurationIsProvedOften(t *testing.T) {
+func TestConfigurationIsConfirmedOften(t *testing.T) {
 	for bound, wait := range map[time.Duration]time.Duration{2 * time.Second: time.Second, 4 * time.Second: time.Second, time.Second: 500 * time.Millisecond} {
 		n := &Node{currentBounds: new(atomic.Pointer[Bounds])}
 		n.currentBounds.Store(&Bounds{ConfigInForce: bound, DrainTimeout: bound, Revocation: 5 * time.Second})
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -64,7 +64,7 @@
 type Pool struct {
 	mu        sync.Mutex
 	idle      map[string][]*conn
-	retryable map[string]map[*Answer]struct{} // exchanges in progress that may be repeated at another endpoint
+	retryable map[string]map[*Answer]struct{} // by address; exchanges that may be repeated elsewhere
 	dials     prometheus.Counter
 	detector  *silence.Detector
 }
@@ -173,8 +173,8 @@
 	}
 }
 
-// Forget forgets an address that no longer belongs to an endpoint and closes its idle
-// connections.
+// Forget discards what is known of an address that no longer belongs to an endpoint and closes
+// its idle connections.
 func (p *Pool) Forget(addr string) {
 	p.detector.Forget(addr)
 	p.closeIdle(addr)
--- a/gateway/view/ask.go
+++ b/gateway/view/ask.go
@@ -9,8 +9,8 @@
 )
 
 // overdueShare is the share of a watch's wait by which it may be late before a second call is
-// sent to the platform. Watches may hang while other calls are answered. A feed's limit is 1.5
-// times the wait of a watch, so the second call is answered before the feed expires.
+// sent to the platform. Watches may hang while other calls are answered. A feed's limit is at
+// least 1.5 times the wait of a watch, so the second call is answered before the feed expires.
 const overdueShare = 0.25
 
 // watchResult is the result of one watch, with a time at which it was the newest state.
--- a/gateway/view/calls_test.go
+++ b/gateway/view/calls_test.go
@@ -19,7 +19,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 60)
 		f.set(func() { f.silent = true })
-		f.advance(1400 * time.Millisecond) // the state of all VMs becomes too old at about the same time
+		// The state of all VMs becomes too old at about the same time.
+		f.advance(1400 * time.Millisecond)
 		require.LessOrEqual(t, f.advance(600*time.Millisecond), int64(70))
 		f.set(func() { f.silent = false })
 		f.platform.change()
--- a/gateway/view/feed.go
+++ b/gateway/view/feed.go
@@ -79,7 +79,7 @@
 // other VMs. A Feed is safe for concurrent use; its mutex is a leaf.
 type Feed struct {
 	clock Clock
-	limit time.Duration // the time since the last contact with the platform from which Wait returns ErrStale
+	limit time.Duration // time without contact with the platform after which Wait returns ErrStale
 
 	mu          sync.Mutex
 	objects     map[string]Entry // the kind as of revision, by name
@@ -186,10 +186,10 @@
 // ErrStale is returned by a feed whose last contact with the platform is too old.
 var ErrStale = errors.New("the feed is stale")
 
-// Wait answers a reader that has the changes up to the revision after and whose last contact
-// with the platform was silence ago. It returns once there are changes or the feed had a later
-// contact than the reader, with ErrStale if there is none within the limit, or with the error
-// of ctx.
+// Wait answers a reader that has the changes up to the revision given by after and whose last
+// contact with the platform was silence ago. It returns once there are changes or the feed had
+// a later contact than the reader, with ErrStale if there is none within the limit, or with the
+// error of ctx.
 func (f *Feed) Wait(ctx context.Context, after int64, silence time.Duration) (Step, error) {
 	began := f.clock()
 	t := time.NewTimer(f.remaining())
--- a/gateway/view/feed_test.go
+++ b/gateway/view/feed_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestPack(t *testing.T) {
+func TestEntryCompression(t *testing.T) {
 	for _, s := range []string{"", "short", strings.Repeat("a long configuration ", 1000)} {
 		e := newEntry("", []byte(s), true)
 		got, err := e.decompress()
@@ -203,8 +203,8 @@
 		own = append(own, source)
 		v := New(Settings{Clock: clock, Log: zerolog.Nop()})
 		feed := NewFeed(clock, time.Minute)
-		relays := NewFeedTransport(map[string]*Feed{"kind": feed}, prometheus.NewRegistry())
-		server := httptest.NewServer(relays.Handler())
+		transport := NewFeedTransport(map[string]*Feed{"kind": feed}, prometheus.NewRegistry())
+		server := httptest.NewServer(transport.Handler())
 		t.Cleanup(func() {
 			server.CloseClientConnections()
 			server.Close()
@@ -216,7 +216,7 @@
 		peers = append(peers, strings.TrimPrefix(server.URL, "http://"))
 		f := &Follower[*catalog.Config]{
 			Kind: "kind", Source: source, Wait: 20 * time.Millisecond, Clock: clock, Apply: v.ApplyConfig, Log: zerolog.Nop(),
-			Feed: feed, Reader: relays, Policy: newFixed(clock, parent...), PeerListTimeout: time.Hour,
+			Feed: feed, Reader: transport, Policy: newFixed(clock, parent...), PeerListTimeout: time.Hour,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/gateway/view/fleet_test.go
+++ b/gateway/view/fleet_test.go
@@ -140,7 +140,7 @@
 }
 
 // run follows the kinds until the test ends.
-func (vm *fleetVM) run(t *testing.T, names []watching.VM, patience time.Duration) {
+func (vm *fleetVM) run(t *testing.T, names []watching.VM, listTimeout time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	t.Cleanup(func() {
@@ -151,9 +151,9 @@
 	for _, kind := range fleetKinds {
 		f := &Follower[*catalog.Config]{
 			Kind: kind, Source: vm, Wait: fleetBound / 2, Clock: vm.fleet.clock, Apply: func(Update[*catalog.Config]) {},
-			Log: zerolog.Nop(), Feed: vm.feeds[kind], Reader: vm, Policy: g, PeerListTimeout: patience,
+			Log: zerolog.Nop(), Feed: vm.feeds[kind], Reader: vm, Policy: g, PeerListTimeout: listTimeout,
 		}
-		if patience == 0 {
+		if listTimeout == 0 {
 			f.StaleList, f.PauseAfterList = kind == "roll-outs" || kind == "data-centres-out", 300*time.Millisecond
 		}
 		if kind == "configuration" {
@@ -266,8 +266,9 @@
 	})
 }
 
-// Guards against all VMs calling the store when it refuses the two that watch it. Two VMs take
-// over, the others read from them, and a change is in force on them within the bound.
+// Guards against all VMs calling the store when it refuses, by errors, the two that watch it and
+// serves the others. Two backup watchers call it instead, the others read from these, and a
+// change is in force on them within the bound.
 func TestWatchersTurnedAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 60)
@@ -276,8 +277,8 @@
 		f.platform.change()
 		f.advance(fleetBound)
 		f.requireVersion(t, 6, 0, 1)
-		// Each second: two substitutes with one watch of each kind, and two watchers with an
-		// attempt each half second and the attempts by rank.
+		// Each second: two backup watchers with one watch of each kind, two watchers with an
+		// attempt each half second, and up to four attempts of other VMs by rank.
 		require.LessOrEqual(t, f.advance(6*time.Second), int64(6*(2*4+2*2+4)))
 		f.requireVersion(t, 6, 0, 1)
 	})
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -15,8 +15,8 @@
 type Follower[T any] struct {
 	Kind   string
 	Source Source[T]
-	// Wait is how long one watch waits, a call to the platform each. It bounds how old the state
-	// gets and how long a silently broken connection stays unnoticed.
+	// Wait is how long one watch waits; each watch is one call to the platform. Wait bounds how
+	// old the state gets and how long a silently broken connection stays unnoticed.
 	Wait  time.Duration
 	Clock Clock
 	Apply func(Update[T])
@@ -66,10 +66,11 @@
 	// on a change.
 	batchPause = 100 * time.Millisecond
 	// readerDropFailures is the number of consecutive failures, watching.RetryDelay apart, at
-	// which a feed sends its readers away and the VM counts as having lost the platform.
+	// which a feed expires, so that its readers use another source, and the VM counts as having
+	// lost the platform.
 	readerDropFailures = 2
 	// maxStalePeers is how many VMs with stale feeds a VM asks in one attempt: its parent and
-	// the roots of its tree. New state at the roots so reaches all VMs directly.
+	// the roots of its tree. New state at the roots thus reaches all VMs directly.
 	maxStalePeers = 3
 	// earlyTolerance is how much sooner than requested an empty answer may come and still count
 	// as a completed wait.
@@ -149,8 +150,8 @@
 }
 
 // fetchAll reads the whole kind, from another VM if there is one to read from, else from the
-// platform. At the start it tries other VMs for PeerListTimeout; once if the history is missing
-// or the platform failed.
+// platform. At the start it tries other VMs for PeerListTimeout; it tries them only once if the
+// history is missing, the platform failed or ask is false.
 func (f *Follower[T]) fetchAll(ctx context.Context, ask bool) (int64, error) {
 	until := f.Clock() + f.PeerListTimeout
 	f.PeerListTimeout = 0
@@ -190,9 +191,10 @@
 	}
 }
 
-// noteFailure records a failed call. Readers are sent away at the second failure in a row: the
-// platform breaks off single watches at times, and each time 91 VMs called it at once. The
-// limit of the feed still holds, so that no state gets older because of this.
+// noteFailure records a failed call. The feed expires only at the second failure in a row: the
+// platform breaks off single watches at times, and when readers left the feed at the first
+// failure, 91 VMs called the platform at once. The limit of the feed still holds, so that no
+// state gets older because of this.
 func (f *Follower[T]) noteFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -21,8 +21,8 @@
 	HoldTime func() time.Duration
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// ColdShare returns how many of the rate requests a second that a cold endpoint accepts from
-	// all VMs this VM may send; 0 for none.
+	// ColdShare returns how many requests a second this VM may send to a cold endpoint, which
+	// accepts rate requests a second from all VMs together; 0 for none.
 	ColdShare func(endpoint string, rate float64) float64
 	// OnRemove is called with the address of each endpoint that is removed.
 	OnRemove func(address string)
@@ -34,8 +34,8 @@
 	config      atomic.Pointer[catalog.Config]
 	confirmedAt atomic.Int64 // Clock time at which config was confirmed as the newest; 0 for never
 
-	knownCh   chan struct{} // closed when a configuration and the endpoints are known
-	knownOnce sync.Once
+	loaded     chan struct{} // closed when a configuration and the endpoints are known
+	loadedOnce sync.Once
 
 	mu        sync.Mutex
 	endpoints map[string]endpointEntry
@@ -46,7 +46,7 @@
 	holdUntil        time.Duration // entries that disappear before this Clock time are held
 	rollouts         map[string]catalog.RollOut
 	rollOutsRevision int64             // revision of the platform up to which rollouts is complete
-	onlyVersions     map[string]string // by service, the result of findOnlyVersion since the last change
+	onlyVersions     map[string]string // by service, results of findOnlyVersion since the last change
 	dataCentresOut   map[string]bool
 }
 
@@ -60,18 +60,18 @@
 // New returns an empty View.
 func New(s Settings) *View {
 	return &View{
-		s: s, knownCh: make(chan struct{}), endpoints: make(map[string]endpointEntry), missing: make(map[string]time.Duration),
+		s: s, loaded: make(chan struct{}), endpoints: make(map[string]endpointEntry), missing: make(map[string]time.Duration),
 		rollouts: make(map[string]catalog.RollOut), onlyVersions: make(map[string]string), dataCentresOut: make(map[string]bool),
 	}
 }
 
-// Loaded is closed once a configuration and the endpoints are known.
-func (v *View) Loaded() <-chan struct{} { return v.knownCh }
+// Loaded returns a channel that is closed once a configuration and the endpoints are known.
+func (v *View) Loaded() <-chan struct{} { return v.loaded }
 
-// closeKnown closes the channel of Known once both a configuration and the endpoints are known.
-func (v *View) closeKnown(listed bool) {
+// closeLoaded closes the channel of Loaded once both a configuration and the endpoints are known.
+func (v *View) closeLoaded(listed bool) {
 	if listed && v.Config() != nil {
-		v.knownOnce.Do(func() { close(v.knownCh) })
+		v.loadedOnce.Do(func() { close(v.loaded) })
 	}
 }
 
@@ -133,7 +133,7 @@
 	for _, e := range v.endpoints {
 		v.setInTable(e.Endpoint, 0)
 	}
-	v.closeKnown(v.listed)
+	v.closeLoaded(v.listed)
 }
 
 // ApplyEndpoints applies changes of the endpoints' entries.
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	v.closeKnown(true)
+	v.closeLoaded(true)
 }
 
 func (v *View) applyEndpoint(now time.Duration, c Change[catalog.Endpoint]) {
