--- a/gateway/forward/doc.go
+++ b/gateway/forward/doc.go
@@ -1,6 +1,6 @@
-// Package forward proxies callers' requests to endpoints and passes the answers back. It finds
-// the route by host and path, the account by key, the endpoint with package placement and the
-// model with package sizing. A request is sent to another endpoint only if the first one
+// Package forward proxies callers' opaque requests to endpoints and passes the answers back. It
+// finds the route by host and path, the account by key, the endpoint with package placement and
+// the model with package sizing. A request is sent to another endpoint only if the first one
 // certainly did not run it or if it may run more than once.
 //
 // Load pattern: endpoints crash, refuse requests, hang, cut answers off or send bytes of
--- a/gateway/node/rollouts_test.go
+++ b/gateway/node/rollouts_test.go
@@ -60,7 +60,7 @@
 
 // Guards against sessions that return to a replaced version: a roll-out is completed and the
 // next is ordered while endpoints of the first version still run. Half of the sessions returned
-// to it when the new order only excluded the third version.
+// to it when the new order only excluded the third version, which none may use yet.
 func TestReplacedVersionStaysReplaced(t *testing.T) {
 	o := newOrders()
 	o.receive("v2", 10, catalog.RollOutRunning)
