--- a/cmd/goldcrest/app.go
+++ b/cmd/goldcrest/app.go
@@ -19,9 +19,9 @@
 	"goldcrestfork/router/operator/client"
 )
 
-// Exit codes.
+// Exit codes of the command. The package comment describes them.
 const (
-	exitDone = iota
+	exitOK = iota
 	exitFailed
 	exitRefused
 	exitConflict
@@ -31,10 +31,10 @@
 	exitUnauthorized
 )
 
-// callTimeout bounds one call; the API itself ends a wait after 16 s.
+// callTimeout limits one call. It exceeds the 16 s after which the API itself ends a wait.
 const callTimeout = 20 * time.Second
 
-// commands is the command line.
+// commands defines the flags and commands of the command line.
 type commands struct {
 	VM      []string      `env:"GOLDCREST_VM" placeholder:"IP:PORT" help:"Operator address of a VM, or a URL; several are tried in their order."`
 	Key     string        `env:"GOLDCREST_KEY" placeholder:"KEY" help:"The operator's key; better given in the environment."`
@@ -67,7 +67,7 @@
 	Sessions sessionMoves   `cmd:"" help:"List from the logs of all VMs the requests that ran on another version than the one before in their session."`
 }
 
-// app is what commands work with.
+// app holds the context, the flags, the client and the output streams of a command.
 type app struct {
 	context.Context
 	commands *commands
@@ -91,16 +91,16 @@
 	ctx, cancel := context.WithTimeout(ctx, cli.Timeout)
 	defer cancel()
 	a := &app{Context: ctx, commands: cli, out: out, err: errOut,
-		client: client.Client{VMs: urls(cli.VM), Key: cli.Key, HTTP: &http.Client{Timeout: callTimeout}}}
+		client: client.Client{VMs: baseURLs(cli.VM), Key: cli.Key, HTTP: &http.Client{Timeout: callTimeout}}}
 	if err := parsed.Run(a); err != nil {
-		a.explain(err)
+		a.printError(err)
 		return exitCode(err)
 	}
-	return exitDone
+	return exitOK
 }
 
-// urls makes base URLs of "ip:port".
-func urls(vms []string) []string {
+// baseURLs returns the base URLs of VMs that are given as "ip:port" or as URLs.
+func baseURLs(vms []string) []string {
 	var all []string
 	for _, vm := range vms {
 		if !strings.Contains(vm, "://") {
@@ -111,11 +111,12 @@
 	return all
 }
 
-// errNoVM: a command that needs a VM was given none.
+// errNoVM is returned by a command that needs a VM when none is given.
 var errNoVM = config.Problems{{Field: "--vm", Got: "nothing", Want: "the operator address of at least one VM, or GOLDCREST_VM"}}
 
-// explain prints an error so that an operator knows what to do.
-func (a *app) explain(err error) {
+// printError prints an error. For a problem from a VM it also prints whether the
+// change was refused and the object's current state, if the VM sent them.
+func (a *app) printError(err error) {
 	var p *operator.Problem
 	if !errors.As(err, &p) {
 		fmt.Fprintln(a.err, "goldcrest:", err)
@@ -134,7 +135,7 @@
 	}
 }
 
-// exitCode sorts an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var problems config.Problems
 	var p *operator.Problem
@@ -144,7 +145,7 @@
 	case errors.As(err, &problems):
 		return exitRefused
 	case errors.As(err, &p):
-		return problemExit(p)
+		return problemExitCode(p)
 	case errors.Is(err, client.ErrUnreachable):
 		return exitNotAccepted
 	case errors.Is(err, errNoRequest):
@@ -153,7 +154,7 @@
 	return exitFailed
 }
 
-func problemExit(p *operator.Problem) int {
+func problemExitCode(p *operator.Problem) int {
 	switch p.Code {
 	case operator.CodeInvalid, operator.CodeBadRequest, operator.CodeTooLarge:
 		return exitRefused
--- a/cmd/goldcrest/change.go
+++ b/cmd/goldcrest/change.go
@@ -12,15 +12,15 @@
 	"goldcrestfork/router/operator/client"
 )
 
-// changing are the flags of all commands that change something.
-type changing struct {
+// changeFlags holds the flags of all commands that change the configuration.
+type changeFlags struct {
 	IfRevision int64  `placeholder:"N" help:"Only if the object was last changed at this revision."`
 	ChangeID   string `placeholder:"ID" help:"Find out what became of an earlier attempt; with --since."`
 	Since      int64  `placeholder:"N" help:"The revision given with the change id."`
 }
 
-// do makes a change and prints what became of it.
-func (c *changing) do(a *app, method, path string, body []byte) error {
+// sendChange sends a change to the VMs and prints its revision and warnings.
+func (c *changeFlags) sendChange(a *app, method, path string, body []byte) error {
 	if len(a.client.VMs) == 0 {
 		return errNoVM
 	}
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// act asks for an action on one object.
-func (c *changing) act(a *app, kind config.Kind, name string, action config.Action, reason string) error {
+// invoke requests an action on one object. An empty reason is not sent.
+func (c *changeFlags) invoke(a *app, kind config.Kind, name string, action config.Action, reason string) error {
 	path := objectPath(kind, name) + "/" + string(action)
 	if reason != "" {
 		path += "?reason=" + url.QueryEscape(reason)
 	}
-	return c.do(a, http.MethodPost, path, nil)
+	return c.sendChange(a, http.MethodPost, path, nil)
 }
 
 func objectPath(kind config.Kind, name string) string {
@@ -52,7 +52,7 @@
 }
 
 type apply struct {
-	changing
+	changeFlags
 	Files []string `arg:"" type:"existingfile" help:"Files of objects. An object with a revision is replaced only if it is still at that revision."`
 }
 
@@ -72,22 +72,22 @@
 	if err != nil {
 		return err
 	}
-	return c.do(a, http.MethodPost, "/v1/apply", body)
+	return c.sendChange(a, http.MethodPost, "/v1/apply", body)
 }
 
 type remove struct {
-	changing
-	named
+	changeFlags
+	objectArgs
 }
 
 // Run deletes an object.
 func (c *remove) Run(a *app) error {
-	return c.do(a, http.MethodDelete, objectPath(config.Kind(c.Kind), c.Name), nil)
+	return c.sendChange(a, http.MethodDelete, objectPath(config.Kind(c.Kind), c.Name), nil)
 }
 
 type label struct {
-	changing
-	named
+	changeFlags
+	objectArgs
 	Labels []string `arg:"" help:"key=value sets a label, key- removes it."`
 }
 
@@ -96,11 +96,11 @@
 	labels := make(map[string]*string)
 	for _, text := range c.Labels {
 		key, value, ok := strings.Cut(text, "=")
-		switch bare, minus := strings.CutSuffix(text, "-"); {
+		switch removedKey, isRemoval := strings.CutSuffix(text, "-"); {
 		case ok:
 			labels[key] = &value
-		case minus:
-			labels[bare] = nil
+		case isRemoval:
+			labels[removedKey] = nil
 		default:
 			return config.Problems{{Field: "labels", Got: text, Want: "key=value or key-"}}
 		}
@@ -109,51 +109,51 @@
 	if err := json.NewEncoder(body).Encode(labels); err != nil {
 		return err
 	}
-	return c.do(a, http.MethodPatch, objectPath(config.Kind(c.Kind), c.Name)+"/labels", body.Bytes())
+	return c.sendChange(a, http.MethodPatch, objectPath(config.Kind(c.Kind), c.Name)+"/labels", body.Bytes())
 }
 
 type withdraw struct {
-	changing
+	changeFlags
 	Version string `arg:"" help:"Model version."`
 }
 
 // Run withdraws a model version.
 func (c *withdraw) Run(a *app) error {
-	return c.act(a, config.KindVersion, c.Version, config.ActionWithdraw, "")
+	return c.invoke(a, config.KindVersion, c.Version, config.ActionWithdraw, "")
 }
 
 type serve struct {
-	changing
+	changeFlags
 	Version string `arg:"" help:"Model version."`
 }
 
-// Run lets a model version take work again.
+// Run makes a withdrawn model version available for new work again.
 func (c *serve) Run(a *app) error {
-	return c.act(a, config.KindVersion, c.Version, config.ActionServe, "")
+	return c.invoke(a, config.KindVersion, c.Version, config.ActionServe, "")
 }
 
-type place struct {
-	changing
+type drainTarget struct {
+	changeFlags
 	Name     string `arg:"" help:"Data centre, or endpoint with --endpoint."`
 	Endpoint bool   `help:"The name is an endpoint's."`
 }
 
-func (c *place) kind() config.Kind {
+func (c *drainTarget) kind() config.Kind {
 	if c.Endpoint {
 		return config.KindEndpoint
 	}
 	return config.KindDataCentre
 }
 
-type drain struct{ place }
+type drain struct{ drainTarget }
 
-// Run takes a data centre or an endpoint out.
-func (c *drain) Run(a *app) error { return c.act(a, c.kind(), c.Name, config.ActionDrain, "") }
+// Run takes a data centre or an endpoint out of service.
+func (c *drain) Run(a *app) error { return c.invoke(a, c.kind(), c.Name, config.ActionDrain, "") }
 
-type takeBack struct{ place }
+type takeBack struct{ drainTarget }
 
-// Run takes a data centre or an endpoint back.
-func (c *takeBack) Run(a *app) error { return c.act(a, c.kind(), c.Name, config.ActionTakeBack, "") }
+// Run takes a data centre or an endpoint back into service.
+func (c *takeBack) Run(a *app) error { return c.invoke(a, c.kind(), c.Name, config.ActionTakeBack, "") }
 
 type rollOut struct {
 	Start    start    `cmd:"" help:"Start a roll-out from its first step, also after it was rolled back."`
@@ -162,47 +162,47 @@
 	RollBack rollBack `cmd:"" name:"roll-back" help:"Send all new work to the old version again."`
 }
 
-type rollOutStep struct {
-	changing
+type rollOutAction struct {
+	changeFlags
 	Name   string `arg:"" help:"Roll-out."`
 	Reason string `help:"Why; kept with the roll-out."`
 }
 
 type (
-	start    struct{ rollOutStep }
-	pause    struct{ rollOutStep }
-	resume   struct{ rollOutStep }
-	rollBack struct{ rollOutStep }
+	start    struct{ rollOutAction }
+	pause    struct{ rollOutAction }
+	resume   struct{ rollOutAction }
+	rollBack struct{ rollOutAction }
 )
 
 // Run starts a roll-out.
 func (c *start) Run(a *app) error {
-	return c.act(a, config.KindRollOut, c.Name, config.ActionStart, c.Reason)
+	return c.invoke(a, config.KindRollOut, c.Name, config.ActionStart, c.Reason)
 }
 
 // Run pauses a roll-out.
 func (c *pause) Run(a *app) error {
-	return c.act(a, config.KindRollOut, c.Name, config.ActionPause, c.Reason)
+	return c.invoke(a, config.KindRollOut, c.Name, config.ActionPause, c.Reason)
 }
 
 // Run resumes a roll-out.
 func (c *resume) Run(a *app) error {
-	return c.act(a, config.KindRollOut, c.Name, config.ActionResume, c.Reason)
+	return c.invoke(a, config.KindRollOut, c.Name, config.ActionResume, c.Reason)
 }
 
-// Run rolls a roll-out back.
+// Run sends all new work of a roll-out to the old version again.
 func (c *rollBack) Run(a *app) error {
-	return c.act(a, config.KindRollOut, c.Name, config.ActionRollBack, c.Reason)
+	return c.invoke(a, config.KindRollOut, c.Name, config.ActionRollBack, c.Reason)
 }
 
 type restore struct{}
 
-// Run asks the first VM to write its configuration back. It is not tried on
-// others: which VM's configuration is restored is for the operator to say.
+// Run asks the first VM to write its configuration back to the platform. Run does
+// not try the other VMs, because the operator decides whose configuration is restored.
 func (c *restore) Run(a *app) error {
 	if len(a.client.VMs) == 0 {
 		return errNoVM
 	}
 	a.client.VMs = a.client.VMs[:1]
-	return (&changing{}).do(a, http.MethodPost, "/v1/restore", nil)
+	return (&changeFlags{}).sendChange(a, http.MethodPost, "/v1/restore", nil)
 }
--- a/cmd/goldcrest/check.go
+++ b/cmd/goldcrest/check.go
@@ -28,7 +28,8 @@
 	Files []string `arg:"" type:"existingfile" help:"Configuration files, JSON with comments; checked together."`
 }
 
-// Run checks configuration files as one whole configuration.
+// Run checks that the objects of all files form a valid configuration, and prints
+// the configuration's warnings.
 func (c *checkConfig) Run(a *app) error {
 	objects, err := readObjects(c.Files)
 	if err != nil {
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// readObjects reads the objects of all files; the error holds all their problems.
+// readObjects reads the objects of all files. If some are invalid, the error lists
+// the problems of all files.
 func readObjects(files []string) ([]config.Object, error) {
 	var all []config.Object
 	var problems config.Problems
@@ -71,7 +73,8 @@
 	VMs       []string `arg:"" name:"vms" help:"Names of the VMs, as in their settings."`
 }
 
-// Run writes ca.pem, and NAME.pem and NAME.key for each VM.
+// Run writes the certificate authority to ca.pem, and each VM's certificate and key
+// to NAME.pem and NAME.key.
 func (c *certificates) Run(a *app) error {
 	set, err := peer.NewTrialSet(time.Now(), c.VMs...)
 	if err != nil {
--- a/cmd/goldcrest/explain.go
+++ b/cmd/goldcrest/explain.go
@@ -9,15 +9,16 @@
 	"goldcrestfork/gateway/explain"
 )
 
-// errNoRequest: no log line has the id.
-var errNoRequest = errors.New("no log line has this request")
+// errNoRequest is returned when no log line has the id of the request.
+var errNoRequest = errors.New("no log line has the id of this request")
 
 type explainRequest struct {
 	ID   string   `arg:"" help:"The request's id."`
 	Logs []string `arg:"" type:"existingfile" help:"Log files of goldcrest-node, of as many VMs as there are."`
 }
 
-// Run says what became of a request and what its VM believed shortly before.
+// Run prints the outcome of a request, its cause, and the state that the request's
+// VM knew shortly before.
 func (e *explainRequest) Run(a *app) error {
 	log, err := readLogs(a, e.Logs)
 	if err != nil {
@@ -38,7 +39,8 @@
 	Logs  []string      `arg:"" type:"existingfile" help:"Log files of goldcrest-node, of all VMs."`
 }
 
-// Run lists the requests that ran on another version than the one before in their session.
+// Run lists the requests that ran on another model version than the previous request
+// of their session.
 func (s *sessionMoves) Run(a *app) error {
 	log, err := readLogs(a, s.Logs)
 	if err != nil {
@@ -47,7 +49,8 @@
 	return explain.WriteMoves(a.out, log.Moves(s.Pause))
 }
 
-// readLogs reads the logs of some VMs.
+// readLogs reads log files of one or more VMs. It prints the number of lines that
+// are not log lines of a VM.
 func readLogs(a *app, paths []string) (*explain.Log, error) {
 	log := new(explain.Log)
 	for _, path := range paths {
@@ -62,7 +65,7 @@
 		}
 	}
 	if log.Unreadable > 0 {
-		fmt.Fprintf(a.err, "goldcrest: %d lines are no log lines of a VM\n", log.Unreadable)
+		fmt.Fprintf(a.err, "goldcrest: %d lines are not log lines of a VM\n", log.Unreadable)
 	}
 	return log, nil
 }
--- a/cmd/goldcrest/goldcrest_test.go
+++ b/cmd/goldcrest/goldcrest_test.go
@@ -16,17 +16,17 @@
 	"goldcrestfork/standin/store"
 )
 
-var examples = mustAbs("../../examples")
+var examples = absolutePath("../../examples")
 
-// goldcrest runs one command line and returns its exit code and what it printed.
-func goldcrest(args ...string) (int, string) {
+// runCommand runs one command line and returns its exit code and output.
+func runCommand(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := run(args, &out, &out)
 	return code, out.String()
 }
 
-// files lists a deployment's configuration files.
-func files(t *testing.T, deployment string) []string {
+// configFiles lists the configuration files of an example deployment.
+func configFiles(t *testing.T, deployment string) []string {
 	all, err := filepath.Glob(filepath.Join(examples, deployment, "*.jsonc"))
 	require.NoError(t, err)
 	var objects []string
@@ -39,9 +39,9 @@
 	return objects
 }
 
-// The annotated deployments are what operators start from: they must be accepted
-// whole and have the sizes of the users' brief.
-func TestExamplesAreGood(t *testing.T) {
+// Guards against example deployments that check-config refuses or that differ in size
+// from the deployments that the requirements describe. Operators start from these files.
+func TestExamplesAreValid(t *testing.T) {
 	rows := []struct {
 		deployment                                string
 		dataCentres, runners, instances, accounts int
@@ -50,10 +50,10 @@
 		{"norte", 3, 9, 3, 10},
 	}
 	for _, row := range rows {
-		code, out := goldcrest(append([]string{"check-config"}, files(t, row.deployment)...)...)
+		code, out := runCommand(append([]string{"check-config"}, configFiles(t, row.deployment)...)...)
 		require.Zero(t, code, out)
 		require.NotContains(t, out, "warning")
-		objects, err := readObjects(files(t, row.deployment))
+		objects, err := readObjects(configFiles(t, row.deployment))
 		require.NoError(t, err)
 		s, _ := config.Assemble(objects)
 		runners := 0
@@ -67,44 +67,45 @@
 	}
 }
 
-// The settings of the examples are good as soon as the trial's certificates are made.
-func TestExampleSettingsAreGood(t *testing.T) {
+// Guards against example settings that check-settings refuses once the certificates
+// exist, or accepts without them.
+func TestExampleSettingsAreValid(t *testing.T) {
 	for deployment, vm := range map[string]string{"cluj": "cluj-vm-1", "norte": "norte-vm-1"} {
 		file, err := filepath.Abs(filepath.Join(examples, deployment, "settings.jsonc"))
 		require.NoError(t, err)
 		t.Run(deployment, func(t *testing.T) {
 			t.Chdir(t.TempDir())
-			code, out := goldcrest("check-settings", file)
+			code, out := runCommand("check-settings", file)
 			require.Equal(t, exitRefused, code)
 			require.Contains(t, out, "peers.ca")
-			code, out = goldcrest("certificates", "certificates", vm)
+			code, out = runCommand("certificates", "certificates", vm)
 			require.Zero(t, code, out)
-			code, out = goldcrest("check-settings", file)
+			code, out = runCommand("check-settings", file)
 			require.Zero(t, code, out)
 		})
 	}
 }
 
-// serveVM serves the operator API of one VM on a platform in memory.
+// serveVM serves the operator API of one VM that uses an in-memory platform.
 func serveVM(t *testing.T, s *store.Store) string {
 	cache := config.NewCache(config.Options{Store: s})
 	sum := sha256.Sum256([]byte("trial-operator"))
-	h := operator.New(operator.Options{Configuration: cache, Editor: config.NewEditor(s, cache), Fleet: alone{cache}, KeyHashes: []string{hex.EncodeToString(sum[:])}})
+	h := operator.New(operator.Options{Configuration: cache, Editor: config.NewEditor(s, cache), Fleet: singleVM{cache}, KeyHashes: []string{hex.EncodeToString(sum[:])}})
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
-// alone is a fleet of one VM.
-type alone struct{ cache *config.Cache }
+// singleVM is a fleet of one VM.
+type singleVM struct{ cache *config.Cache }
 
-func (alone) VMs() []string { return []string{"vm-1"} }
+func (singleVM) VMs() []string { return []string{"vm-1"} }
 
-func (a alone) Revisions() map[string]int64 { return map[string]int64{"vm-1": a.cache.Revision()} }
+func (a singleVM) Revisions() map[string]int64 { return map[string]int64{"vm-1": a.cache.Revision()} }
 
-// An operator's day on the command line: each row is one command with the exit
-// code and the words that its reader relies on.
-func TestOperatorsDay(t *testing.T) {
+// Guards against commands that return a wrong exit code or omit the text on which
+// operators rely. Each row is one command; the rows build on each other's changes.
+func TestOperatorCommands(t *testing.T) {
 	s := store.New()
 	url := serveVM(t, s)
 	t.Setenv("GOLDCREST_VM", url)
@@ -116,19 +117,19 @@
 		want string
 		args []string
 	}{
-		{exitDone, "accepted at revision 1", append([]string{"apply"}, files(t, "norte")...)},
-		{exitDone, "norte-b", []string{"list", "data-centre"}},
-		{exitDone, `"state": "in"`, []string{"get", "data-centre", "norte-a", "--min-revision", "1"}},
-		{exitDone, "accepted at revision 2", []string{"drain", "norte-a"}},
-		{exitDone, `"state": "out"`, []string{"get", "data-centre", "norte-a"}},
-		{exitDone, "accepted at revision 3", []string{"take-back", "norte-a"}},
-		{exitDone, "accepted at revision 4", []string{"drain", "--endpoint", "conector-1"}},
-		{exitDone, "accepted at revision 5", []string{"roll-out", "start", "asistente-5", "--reason", "tested"}},
+		{exitOK, "accepted at revision 1", append([]string{"apply"}, configFiles(t, "norte")...)},
+		{exitOK, "norte-b", []string{"list", "data-centre"}},
+		{exitOK, `"state": "in"`, []string{"get", "data-centre", "norte-a", "--min-revision", "1"}},
+		{exitOK, "accepted at revision 2", []string{"drain", "norte-a"}},
+		{exitOK, `"state": "out"`, []string{"get", "data-centre", "norte-a"}},
+		{exitOK, "accepted at revision 3", []string{"take-back", "norte-a"}},
+		{exitOK, "accepted at revision 4", []string{"drain", "--endpoint", "conector-1"}},
+		{exitOK, "accepted at revision 5", []string{"roll-out", "start", "asistente-5", "--reason", "tested"}},
 		{exitRefused, "takes [", []string{"roll-out", "resume", "asistente-5"}},
-		{exitDone, "accepted at revision 6", []string{"withdraw", "asistente-5"}},
-		{exitDone, "revision 6 is in force on 1 of 1 VMs", []string{"in-force", "--wait"}},
-		{exitDone, "accepted at revision 7", []string{"label", "client-account", "bakers", "shift=early", "old-"}},
-		{exitDone, "bakers", []string{"list", "client-account", "--selector", "shift=early|late"}},
+		{exitOK, "accepted at revision 6", []string{"withdraw", "asistente-5"}},
+		{exitOK, "revision 6 is in force on 1 of 1 VMs", []string{"in-force", "--wait"}},
+		{exitOK, "accepted at revision 7", []string{"label", "client-account", "bakers", "shift=early", "old-"}},
+		{exitOK, "bakers", []string{"list", "client-account", "--selector", "shift=early|late"}},
 		{exitConflict, "The object now:", []string{"label", "client-account", "bakers", "shift=late", "--if-revision", "1"}},
 		{exitRefused, `bad.jsonc:3: data-centre "": nmae: an unknown field found; expected the field "name"`, []string{"apply", bad}},
 		{exitRefused, "existing data-centre", []string{"delete", "data-centre", "norte-a"}},
@@ -136,36 +137,37 @@
 		{exitUnauthorized, "unauthorized", []string{"list", "service", "--key", "wrong"}},
 		{exitNotAccepted, "no VM answered", []string{"drain", "norte-a", "--vm", "127.0.0.1:1"}},
 		{exitRefused, "GOLDCREST_VM", []string{"drain", "norte-a", "--vm", ""}},
-		{exitDone, `"revision": 8`, []string{"--json", "serve", "asistente-5"}},
+		{exitOK, `"revision": 8`, []string{"--json", "serve", "asistente-5"}},
 	}
 	for _, row := range rows {
-		code, out := goldcrest(row.args...)
+		code, out := runCommand(row.args...)
 		require.Equal(t, row.code, code, "%v: %s", row.args, out)
 		require.Contains(t, out, row.want, "%v", row.args)
 	}
 	s.SetFaults(store.Faults{Down: true})
-	code, out := goldcrest("drain", "norte-a")
+	code, out := runCommand("drain", "norte-a")
 	require.Equal(t, exitNotAccepted, code, out)
 	require.Contains(t, out, "not accepted; nothing is changed")
 	require.Equal(t, 8, s.Counts().Puts-s.Counts().Conflicts)
 }
 
-// On call has an id and log files, and no VM to ask.
+// Guards against an explain command that needs a running VM: an engineer on call may
+// have only the id of a request and log files.
 func TestExplainReadsLogs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "vm-a.log")
 	line := `{"vm":"a","request":"r1","outcome":"overloaded","status":503,"time":"2026-01-02T03:04:06Z","message":"request"}`
 	require.NoError(t, os.WriteFile(path, []byte(line+"\n"), 0o600))
-	code, out := goldcrest("explain", "r1", path)
-	require.Equal(t, exitDone, code, out)
+	code, out := runCommand("explain", "r1", path)
+	require.Equal(t, exitOK, code, out)
 	require.Contains(t, out, "no endpoint could take it")
-	code, out = goldcrest("explain", "r2", path)
+	code, out = runCommand("explain", "r2", path)
 	require.Equal(t, exitNotFound, code, out)
-	code, out = goldcrest("explain", "r1", path+".missing")
+	code, out = runCommand("explain", "r1", path+".missing")
 	require.Equal(t, exitRefused, code, out)
 }
 
-// mustAbs makes a path that holds after a change of directory.
-func mustAbs(path string) string {
+// absolutePath returns a path that stays valid after a change of the working directory.
+func absolutePath(path string) string {
 	abs, err := filepath.Abs(path)
 	if err != nil {
 		panic(err)
--- a/cmd/goldcrest/main.go
+++ b/cmd/goldcrest/main.go
@@ -1,9 +1,10 @@
-// Command goldcrest is the operators' command line: it checks files without a
+// Command goldcrest is the operators' command line. It checks files without a
 // running system, and reads and changes the configuration through any VM.
 //
-// Exit codes: 0 done; 1 failed otherwise; 2 wrong usage, or input refused; 3 lost
-// a race (the object changed meanwhile); 4 not accepted, since no VM or not the
-// platform could be reached; 5 unknown whether accepted; 6 no such object; 7 key refused.
+// Exit codes: 0 done; 1 failed for another reason; 2 wrong usage or refused input;
+// 3 conflict (the object changed meanwhile); 4 not accepted, because no VM or the
+// platform could not be reached; 5 unknown whether accepted; 6 no such object or
+// request; 7 key refused.
 package main
 
 import "os"
--- a/cmd/goldcrest/process_test.go
+++ b/cmd/goldcrest/process_test.go
@@ -21,7 +21,8 @@
 	"goldcrestfork/standin/store"
 )
 
-// envSettings makes this test's program a VM's daemon with that settings file.
+// envSettings names the environment variable that holds the path of a settings file.
+// If it is set, the test binary runs a VM with these settings instead of the tests.
 const envSettings = "GOLDCREST_TEST_SETTINGS"
 
 func TestMain(m *testing.M) {
@@ -29,14 +30,14 @@
 	if file == "" {
 		os.Exit(m.Run())
 	}
-	if err := daemon(file); err != nil {
+	if err := runDaemon(file); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// daemon runs one VM and prints its operators' address.
-func daemon(file string) error {
+// runDaemon runs one VM and prints the address of its operator API.
+func runDaemon(file string) error {
 	s, err := settings.Load(file)
 	if err != nil {
 		return err
@@ -49,21 +50,22 @@
 	return v.Run(context.Background())
 }
 
-// bench runs daemons as processes before a platform in this one.
-type bench struct {
+// testbed runs VMs as child processes against a platform stand-in in the test process.
+type testbed struct {
 	t        *testing.T
 	store    *store.Store
 	platform string
 }
 
-// process is one VM.
+// process is the process of one VM.
 type process struct {
 	*exec.Cmd
-	operators string
+	operators string // address of the operator API
 }
 
-// start runs the VM of a data centre of Norte; its name is that of its certificate.
-func (b *bench) start(name, dataCentre string) process {
+// startVM starts a VM with the settings of the example "norte". The name must be that
+// of one of the VM certificates.
+func (b *testbed) startVM(name, dataCentre string) process {
 	b.t.Helper()
 	example, err := os.ReadFile(filepath.Join(examples, "norte", "settings.jsonc"))
 	require.NoError(b.t, err)
@@ -90,15 +92,16 @@
 	return p
 }
 
-// until repeats a command line until it ends as wanted and prints what is wanted.
-func (b *bench) until(code int, want string, args ...string) {
+// awaitCommand repeats a command until it ends with the given exit code and its
+// output contains want.
+func (b *testbed) awaitCommand(code int, want string, args ...string) {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(b.t.Context(), time.Minute)
 	defer cancel()
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
-		got, out := goldcrest(args...)
+		got, out := runCommand(args...)
 		if got == code && strings.Contains(out, want) {
 			return
 		}
@@ -110,44 +113,44 @@
 	}
 }
 
-// Three daemons, one in each data centre. One is frozen while a version is
-// withdrawn, one is killed and replaced while a data centre is drained, and the
-// platform goes down. What was accepted is in force on each VM as soon as it is
-// back, nothing is accepted in the outage, and the tool's words are true.
+// Guards against an accepted change that a VM lacks once it runs again, and against a
+// change that is accepted or reported wrongly while the platform is down. Of three VMs
+// in three data centres, one is suspended while a version is withdrawn, and one is
+// killed and replaced while a data centre is drained.
 func TestOperatorsDayOverProcesses(t *testing.T) {
 	t.Setenv("GOLDCREST_KEY", "trial-operator")
-	b := &bench{t: t, store: store.New()}
+	b := &testbed{t: t, store: store.New()}
 	platform := httptest.NewServer(store.Handler(b.store))
 	t.Cleanup(func() {
 		platform.CloseClientConnections()
 		platform.Close()
 	})
 	b.platform = platform.URL
-	norte := files(t, "norte")
+	norte := configFiles(t, "norte")
 	t.Chdir(t.TempDir())
-	code, out := goldcrest("certificates", "certificates", "norte-vm-1", "norte-vm-2", "norte-vm-3", "norte-vm-4")
+	code, out := runCommand("certificates", "certificates", "norte-vm-1", "norte-vm-2", "norte-vm-3", "norte-vm-4")
 	require.Zero(t, code, out)
-	first, second, third := b.start("norte-vm-1", "norte-a"), b.start("norte-vm-2", "norte-b"), b.start("norte-vm-3", "norte-c")
+	first, second, third := b.startVM("norte-vm-1", "norte-a"), b.startVM("norte-vm-2", "norte-b"), b.startVM("norte-vm-3", "norte-c")
 	t.Setenv("GOLDCREST_VM", first.operators)
-	b.until(exitDone, "on 3 of 3 VMs", "in-force")
-	b.until(exitDone, "accepted at revision 1", append([]string{"apply"}, norte...)...)
+	b.awaitCommand(exitOK, "on 3 of 3 VMs", "in-force")
+	b.awaitCommand(exitOK, "accepted at revision 1", append([]string{"apply"}, norte...)...)
 
 	require.NoError(t, third.Process.Signal(syscall.SIGSTOP))
-	b.until(exitDone, "accepted at revision 2", "withdraw", "asistente-5")
+	b.awaitCommand(exitOK, "accepted at revision 2", "withdraw", "asistente-5")
 	require.NoError(t, third.Process.Signal(syscall.SIGCONT))
-	b.until(exitDone, `"state": "withdrawn"`, "get", "model-version", "asistente-5", "--min-revision", "2", "--vm", third.operators)
+	b.awaitCommand(exitOK, `"state": "withdrawn"`, "get", "model-version", "asistente-5", "--min-revision", "2", "--vm", third.operators)
 
 	require.NoError(t, second.Process.Kill())
-	b.until(exitDone, "accepted at revision 3", "drain", "norte-a")
-	fourth := b.start("norte-vm-4", "norte-b")
-	b.until(exitDone, `"state": "out"`, "get", "data-centre", "norte-a", "--min-revision", "3", "--vm", fourth.operators)
+	b.awaitCommand(exitOK, "accepted at revision 3", "drain", "norte-a")
+	fourth := b.startVM("norte-vm-4", "norte-b")
+	b.awaitCommand(exitOK, `"state": "out"`, "get", "data-centre", "norte-a", "--min-revision", "3", "--vm", fourth.operators)
 
 	b.store.SetFaults(store.Faults{Down: true})
-	b.until(exitNotAccepted, "nothing is changed", "take-back", "norte-a")
-	b.until(exitDone, `"state": "out"`, "get", "data-centre", "norte-a", "--vm", third.operators)
+	b.awaitCommand(exitNotAccepted, "nothing is changed", "take-back", "norte-a")
+	b.awaitCommand(exitOK, `"state": "out"`, "get", "data-centre", "norte-a", "--vm", third.operators)
 	b.store.SetFaults(store.Faults{})
-	b.until(exitDone, "accepted at revision 4", "take-back", "norte-a")
+	b.awaitCommand(exitOK, "accepted at revision 4", "take-back", "norte-a")
 	for _, vm := range []process{first, third, fourth} {
-		b.until(exitDone, `"state": "in"`, "get", "data-centre", "norte-a", "--min-revision", "4", "--vm", vm.operators)
+		b.awaitCommand(exitOK, `"state": "in"`, "get", "data-centre", "norte-a", "--min-revision", "4", "--vm", vm.operators)
 	}
 }
--- a/cmd/goldcrest/read.go
+++ b/cmd/goldcrest/read.go
@@ -15,18 +15,18 @@
 	"goldcrestfork/router/operator/client"
 )
 
-// named is the object that a command is about.
-type named struct {
+// objectArgs holds the arguments that name an object.
+type objectArgs struct {
 	Kind string `arg:"" enum:"client-account,model-version,roll-out,data-centre,endpoint,service" help:"client-account, model-version, roll-out, data-centre, endpoint or service."`
 	Name string `arg:"" help:"The object's name."`
 }
 
-// reading are the flags of commands that read objects.
-type reading struct {
+// readFlags holds the flags of commands that read objects.
+type readFlags struct {
 	MinRevision int64 `placeholder:"N" help:"Wait until the VM has this revision, as given by a change."`
 }
 
-// read gets a path and decodes the answer.
+// read gets a path from one of the VMs and decodes the JSON answer.
 func (a *app) read(path string, minRevision int64, into any) error {
 	if len(a.client.VMs) == 0 {
 		return errNoVM
@@ -53,11 +53,11 @@
 }
 
 type get struct {
-	reading
-	named
+	readFlags
+	objectArgs
 }
 
-// Run prints one object as it stands in files.
+// Run prints one object in the format of configuration files, after a line with the revision.
 func (c *get) Run(a *app) error {
 	var answer operator.Answer
 	if err := a.read(objectPath(config.Kind(c.Kind), c.Name), c.MinRevision, &answer); err != nil {
@@ -71,12 +71,12 @@
 }
 
 type list struct {
-	reading
+	readFlags
 	Kind     string `arg:"" enum:"client-account,model-version,roll-out,data-centre,endpoint,service" help:"client-account, model-version, roll-out, data-centre, endpoint or service."`
 	Selector string `placeholder:"KEY=VALUE" help:"Only objects with these labels: key=value|value,key=value."`
 }
 
-// Run lists objects, one a line.
+// Run lists objects with their revision, state and labels, one per line.
 func (c *list) Run(a *app) error {
 	var answer operator.Answer
 	path := "/v1/" + c.Kind + "?selector=" + url.QueryEscape(c.Selector)
@@ -96,12 +96,12 @@
 		if err := json.Unmarshal(text, &row); err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", row.Name, row.Revision, row.State, labelText(row.Labels))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", row.Name, row.Revision, row.State, formatLabels(row.Labels))
 	}
 	return w.Flush()
 }
 
-func labelText(labels map[string]string) string {
+func formatLabels(labels map[string]string) string {
 	var terms []string
 	for key, value := range labels {
 		terms = append(terms, key+"="+value)
@@ -122,10 +122,12 @@
 	Wait     bool  `help:"Ask until it is in force on all VMs."`
 }
 
-// askAgain is the pause between two questions of in-force --wait; a change takes about a second.
-const askAgain = 500 * time.Millisecond
+// pollInterval is the time between two queries of in-force --wait. A change takes
+// about a second to reach all VMs.
+const pollInterval = 500 * time.Millisecond
 
-// Run prints on how many VMs a revision is in force.
+// Run prints on how many VMs a revision is in force. With --wait it queries a VM
+// until the revision is in force on all VMs or the command's timeout has passed.
 func (c *inForce) Run(a *app) error {
 	for {
 		path := "/v1/in-force"
@@ -141,7 +143,7 @@
 		}
 		c.Revision = f.Revision
 		select {
-		case <-time.After(askAgain):
+		case <-time.After(pollInterval):
 		case <-a.Done():
 			_ = c.print(a, f)
 			return fmt.Errorf("revision %d is not in force everywhere yet", f.Revision)
@@ -188,7 +190,8 @@
 
 type state struct{}
 
-// Run prints the state dump of each VM named; one that doesn't answer doesn't hide the others.
+// Run prints the state dump of each given VM. A VM that doesn't answer doesn't stop
+// the output of the others; Run returns the last error.
 func (c *state) Run(a *app) error {
 	if len(a.client.VMs) == 0 {
 		return errNoVM
--- a/cmd/goldcrestd/main.go
+++ b/cmd/goldcrestd/main.go
@@ -1,4 +1,5 @@
-// Command goldcrestd is the entry daemon: the same on every VM, told apart by its settings.
+// Command goldcrestd is the entry daemon. All VMs run the same program and differ only
+// in their settings.
 package main
 
 import (
@@ -15,12 +16,13 @@
 	"goldcrestfork/router/vm"
 )
 
-// Exit codes.
+// Exit codes of the daemon.
 const (
 	exitSettings = 2
 	exitFailed   = 1
 )
 
+// flags defines the command line.
 var flags struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file, JSON with comments."`
 	Check    bool   `help:"Only check the settings; exit 2 when they are refused."`
@@ -45,7 +47,7 @@
 		err = v.Run(ctx)
 	}
 	if err != nil {
-		log.Error().Err(err).Msg("stopped by a failure")
+		log.Error().Err(err).Msg("stopped because of an error")
 		os.Exit(exitFailed)
 	}
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin serves one stand-in for a system around goldcrestfork: a model
-// engine, a plain service or the rating service. The platform's is platformd.
+// Command standin runs a stand-in for one of the systems around goldcrestfork: a model
+// engine, a plain service or the rating service. The stand-in for the platform is the
+// command platformd.
 package main
 
 import (
@@ -14,6 +15,7 @@
 	"goldcrestfork/standin/backend"
 )
 
+// cli defines the command line.
 var cli struct {
 	Engine struct {
 		Versions   []string      `arg:"" help:"Model versions that it serves."`
@@ -37,7 +39,7 @@
 		h = backend.NewRating().Handler()
 	default:
 		e := backend.NewEngine(cli.Engine.Versions...)
-		// The clock tells this start from an earlier one at the same address.
+		// The start time distinguishes this process from an earlier one at the same address.
 		e.Begin(int(time.Now().UnixNano()), cli.Engine.Cold)
 		e.SetFaults(backend.EngineFaults{TokenDelay: cli.Engine.TokenDelay})
 		h = e.Handler()
