--- a/cmd/processtest/caller_test.go
+++ b/cmd/processtest/caller_test.go
@@ -14,29 +14,29 @@
 	"goldcrestfork/router/refusal"
 )
 
-// caller is a client account's program: it keeps to one VM and goes on at the next
-// when that one breaks off.
+// caller is a client of a client account. It sends its requests to one VM and continues
+// at the next VM when a connection breaks or an answer is cut.
 type caller struct {
-	vms []*process
-	at  int
-	// tokens counts what it received, over all attempts.
+	vms     []*process
+	current int
+	// tokens counts the tokens received over all attempts.
 	tokens atomic.Int64
-	// moved counts its changes of VM.
-	moved atomic.Int64
+	// vmChanges counts the changes from one VM to the next.
+	vmChanges atomic.Int64
 }
 
-// outcome is what a caller is left with.
+// outcome is the final result of a caller's request.
 type outcome struct {
 	status   int
 	code     refusal.Code
 	ran      refusal.Ran
 	text     string
-	whole    bool
+	complete bool
 	replayed bool
 	header   http.Header
 }
 
-var callers = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var callerClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func post(ctx context.Context, vm *process, path string, header http.Header, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+vm.serving["callers"]+path, strings.NewReader(body))
@@ -45,7 +45,7 @@
 	}
 	req.Header = header.Clone()
 	req.Header.Set("Authorization", "Bearer "+callerKey)
-	return callers.Do(req)
+	return callerClient.Do(req)
 }
 
 func chatBody(model, prompt string, tokens int) string {
@@ -54,48 +54,49 @@
 	return string(body)
 }
 
-// next turns to the next VM.
-func (c *caller) next() {
-	c.at = (c.at + 1) % len(c.vms)
-	c.moved.Add(1)
+// useNextVM selects the next VM for the caller's following requests.
+func (c *caller) useNextVM() {
+	c.current = (c.current + 1) % len(c.vms)
+	c.vmChanges.Add(1)
 }
 
-// ask streams one answer to its end mark, going on with its token wherever it was
-// cut. It gives up at a refusal that says that coming back doesn't help.
-func (c *caller) ask(ctx context.Context, model, prompt string, tokens int) outcome {
+// streamAnswer streams one answer up to its end marker. It resumes a cut answer with the
+// resume token. It returns at the first refusal without a Retry-After header, because a
+// retry of such a request doesn't help.
+func (c *caller) streamAnswer(ctx context.Context, model, prompt string, tokens int) outcome {
 	header := http.Header{}
 	var o outcome
 	for ctx.Err() == nil {
-		resp, err := post(ctx, c.vms[c.at], "/v1/chat/completions", header, chatBody(model, prompt, tokens))
+		resp, err := post(ctx, c.vms[c.current], "/v1/chat/completions", header, chatBody(model, prompt, tokens))
 		if err != nil {
-			c.next()
+			c.useNextVM()
 			continue
 		}
 		if resp.StatusCode != http.StatusOK {
-			last := refused(resp)
+			last := decodeRefusal(resp)
 			last.text = o.text
 			if resp.Header.Get("Retry-After") == "" {
 				return last
 			}
-			c.next()
-			pause(ctx)
+			c.useNextVM()
+			retryPause(ctx)
 			continue
 		}
 		if token := resp.Header.Get("X-Resume-Token"); token != "" {
 			header.Set("X-Resume-Token", token)
 		}
-		c.read(resp.Body, header, &o)
+		c.readEvents(resp.Body, header, &o)
 		o.status, o.header = resp.StatusCode, resp.Header
-		if o.whole {
+		if o.complete {
 			return o
 		}
-		c.next()
+		c.useNextVM()
 	}
 	return o
 }
 
-// read takes events until the end mark or the end of the connection.
-func (c *caller) read(body io.ReadCloser, header http.Header, o *outcome) {
+// readEvents reads events up to the end of the connection and adds their text to o.
+func (c *caller) readEvents(body io.ReadCloser, header http.Header, o *outcome) {
 	defer body.Close()
 	lines := bufio.NewScanner(body)
 	id := ""
@@ -106,7 +107,7 @@
 		case field == "id":
 			id = value
 		case field == "data" && value == "[DONE]":
-			o.whole = true
+			o.complete = true
 		case field == "data":
 			var f struct {
 				Choices []struct{ Delta struct{ Content string } }
@@ -121,7 +122,8 @@
 	}
 }
 
-func refused(resp *http.Response) outcome {
+// decodeRefusal reads a refusal's problem document and closes the body.
+func decodeRefusal(resp *http.Response) outcome {
 	defer resp.Body.Close()
 	var p struct {
 		Code refusal.Code
@@ -131,8 +133,9 @@
 	return outcome{status: resp.StatusCode, code: p.Code, ran: p.Ran, header: resp.Header}
 }
 
-// refund sends a work order once.
-func refund(ctx context.Context, vm *process, key string, header http.Header) (outcome, error) {
+// sendOrder sends a non-repeatable request to the service once, with key as its
+// idempotency key.
+func sendOrder(ctx context.Context, vm *process, key string, header http.Header) (outcome, error) {
 	h := header.Clone()
 	if h == nil {
 		h = http.Header{}
@@ -143,32 +146,33 @@
 		return outcome{}, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp), nil
+		return decodeRefusal(resp), nil
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return outcome{status: resp.StatusCode, text: string(text), whole: err == nil, ran: refusal.DidRun,
+	return outcome{status: resp.StatusCode, text: string(text), complete: err == nil, ran: refusal.DidRun,
 		replayed: resp.Header.Get("X-Replayed") != "", header: resp.Header}, err
 }
 
-// order repeats a work order under its key until the answer is final.
-func (c *caller) order(ctx context.Context, key string) (outcome, error) {
+// completeOrder repeats a non-repeatable request with its idempotency key until the
+// answer is final.
+func (c *caller) completeOrder(ctx context.Context, key string) (outcome, error) {
 	for ctx.Err() == nil {
-		o, err := refund(ctx, c.vms[c.at], key, nil)
+		o, err := sendOrder(ctx, c.vms[c.current], key, nil)
 		if err == nil && (o.status == http.StatusOK || o.header.Get("Retry-After") == "") {
 			return o, nil
 		}
 		if err != nil {
-			c.next()
+			c.useNextVM()
 			continue
 		}
-		pause(ctx)
+		retryPause(ctx)
 	}
 	return outcome{}, fmt.Errorf("no final answer: %w", ctx.Err())
 }
 
-// pause keeps a caller that is told to come back from a busy loop.
-func pause(ctx context.Context) {
+// retryPause waits before a retry, so that a refused caller doesn't run a busy loop.
+func retryPause(ctx context.Context) {
 	select {
 	case <-time.After(50 * time.Millisecond):
 	case <-ctx.Done():
--- a/cmd/processtest/doc.go
+++ b/cmd/processtest/doc.go
@@ -1,4 +1,4 @@
-// Package processtest proves the promises that span processes with the built
-// daemons over loopback: VMs, the platform's stand-in, engines and services are
-// processes of their own, which the tests kill, freeze, stop and replace.
+// Package processtest tests guarantees that span several processes. The tests build
+// the daemons and run VMs and stand-ins for the platform, engines and services as
+// processes on the loopback interface, which they kill, suspend, stop and replace.
 package processtest
--- a/cmd/processtest/outage_test.go
+++ b/cmd/processtest/outage_test.go
@@ -15,20 +15,21 @@
 	"goldcrestfork/standin/store"
 )
 
-// outage sets whether the platform answers.
-func (w *world) outage(down bool) { w.faults(w.platform, store.FaultOrder{Down: down}) }
+// setOutage starts or ends an outage of the platform.
+func (w *testbed) setOutage(down bool) { w.setFaults(w.platform, store.FaultOrder{Down: down}) }
 
-// traffic asks at the VMs until stopped; each answer must be whole.
-func (w *world) traffic(ctx context.Context, callers int) (asked []*caller, stop func()) {
+// startTraffic starts callers that send requests to the VMs until stop is called. The
+// test fails if an answer is incomplete.
+func (w *testbed) startTraffic(ctx context.Context, callers int) (asked []*caller, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	for i := range callers {
-		c := &caller{vms: w.vms, at: i % len(w.vms)}
+		c := &caller{vms: w.vms, current: i % len(w.vms)}
 		asked = append(asked, c)
 		work.Go(func() {
 			for ctx.Err() == nil {
-				// An answer that has begun is not broken off by the test's end.
-				o := c.ask(context.WithoutCancel(ctx), version, prompt, 10)
+				// stop waits for the requests in progress and doesn't cancel them.
+				o := c.streamAnswer(context.WithoutCancel(ctx), version, prompt, 10)
 				assert.Equal(w.t, http.StatusOK, o.status, o.code)
 				assert.Equal(w.t, backend.Answer(prompt, 10), o.text)
 			}
@@ -40,22 +41,21 @@
 	}
 }
 
-// The platform is away under traffic. Repeatable work must go on; an order must be
-// refused at once, as "not run" only if its caller says that this is its first send,
-// and with the time to come back; a VM replaced meanwhile gets its configuration
-// from its peers and serves, and one without peers isn't ready. After the outage
-// every order runs, once: nothing of it was dispatched without its claim.
+// Guards against a platform outage that stops repeatable work, or in which an order is
+// dispatched without a claim and runs twice. Orders must be refused at once with a
+// Retry-After, and as "not run" only on the first send. A VM that starts in the outage
+// must get its configuration from its peers; without peers it must not be ready.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 3, 2)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*guard)
+	w := newTestbed(t, 3, 2)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*testTimeout)
 	defer cancel()
-	o, err := refund(ctx, w.vms[0], "before", nil)
+	o, err := sendOrder(ctx, w.vms[0], "before", nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, o.status)
 	seeds := []string{peerAddress(t, w.vms[0]), peerAddress(t, w.vms[1])}
-	asked, stop := w.traffic(ctx, 6)
-	w.outage(true)
+	asked, stop := w.startTraffic(ctx, 6)
+	w.setOutage(true)
 	for _, row := range []struct {
 		key    string
 		header http.Header
@@ -65,97 +65,97 @@
 		{"perhaps-again", nil, refusal.Unknown},
 		{"before", nil, refusal.Unknown},
 	} {
-		o, err := refund(ctx, w.vms[1], row.key, row.header)
+		o, err := sendOrder(ctx, w.vms[1], row.key, row.header)
 		require.NoError(t, err)
 		require.Equal(t, refusal.StoreDown, o.code, row.key)
 		require.Equal(t, row.ran, o.ran, row.key)
 		require.NotEmpty(t, o.header.Get("Retry-After"))
 	}
 	w.vms[2].kill()
-	replaced, alone := w.start("vm-4", seeds...), w.start("vm-5")
-	until(t, "the replaced VM is ready", func() bool { return ready(replaced) })
+	replaced, alone := w.startVM("vm-4", seeds...), w.startVM("vm-5")
+	waitUntil(t, "the replaced VM is ready", func() bool { return ready(replaced) })
 	c := &caller{vms: []*process{replaced}}
-	require.True(t, c.ask(ctx, version, prompt, 5).whole)
-	before := sum(asked)
-	until(t, "repeatable work goes on", func() bool { return sum(asked) > before+100 })
-	require.False(t, ready(alone), "it has no configuration")
-	w.outage(false)
+	require.True(t, c.streamAnswer(ctx, version, prompt, 5).complete)
+	before := totalTokens(asked)
+	waitUntil(t, "repeatable work continues", func() bool { return totalTokens(asked) > before+100 })
+	require.False(t, ready(alone), "a VM without peers has no configuration")
+	w.setOutage(false)
 	stop()
 
-	until(t, "the lonely VM is ready", func() bool { return ready(alone) })
+	waitUntil(t, "the VM without peers is ready", func() bool { return ready(alone) })
 	for _, vm := range []*process{w.vms[0], w.vms[1], replaced, alone} {
 		for _, key := range []string{"before", "first-send", "perhaps-again"} {
 			c := &caller{vms: []*process{vm}}
-			o, err := c.order(ctx, key)
+			o, err := c.completeOrder(ctx, key)
 			require.NoError(t, err)
 			require.Equal(t, http.StatusOK, o.status, "%s at %s: %+v", key, vm.name, o)
 		}
 	}
-	require.Equal(t, map[string]int{"before": 1, "first-send": 1, "perhaps-again": 1}, w.booked())
+	require.Equal(t, map[string]int{"before": 1, "first-send": 1, "perhaps-again": 1}, w.bookedOrders())
 }
 
-// An engine's process dies under traffic from three VMs and comes back cold, at its
-// address, without a word. All VMs together must stay within its cold limit, and
-// every caller gets its whole answer: a new connection asks for the engine's state
-// before it carries a request, and the cold slots are dealt to the VMs.
+// Guards against VMs that together exceed the cold limit of an engine that restarts in
+// cold start at the same address without notice, and against cut answers. Each VM must
+// query the state on a new connection before the first request, and the cold slots are
+// assigned to the VMs.
 func TestEngineComesBackCold(t *testing.T) {
 	t.Parallel()
 	const coldLimit = 3
-	w := newWorld(t, 3, 2)
-	ctx, cancel := context.WithTimeout(t.Context(), guard)
+	w := newTestbed(t, 3, 2)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	asked, stop := w.traffic(ctx, 18)
-	// On a VM where an account has sent little its retry budget bears two requests;
-	// what is proved is an endpoint's death in running traffic.
-	until(t, "a retry budget of traffic", func() bool { return sum(asked) > 6000 })
+	asked, stop := w.startTraffic(ctx, 18)
+	// The retry budget of an account with little traffic on a VM covers only two requests.
+	// The test needs a budget that covers the failure of an endpoint in steady traffic.
+	waitUntil(t, "traffic for the retry budget", func() bool { return totalTokens(asked) > 6000 })
 	address := w.engines[0].serving["address"]
 	w.engines[0].kill()
-	w.engines[0] = run(t, "engine-0", "standin", "--listen", address, "engine", "--cold", version, other)
-	until(t, "cold work", func() bool { return stats(t, w.engines[0]).MaxCold > 0 })
-	before := sum(asked)
-	until(t, "traffic beside the cold engine", func() bool { return sum(asked) > before+1000 })
-	require.LessOrEqual(t, stats(t, w.engines[0]).MaxCold, coldLimit)
-	require.NoError(t, ask(http.MethodPost, address, "/warm", nil, nil))
-	warm := stats(t, w.engines[0]).Started
-	until(t, "warm work", func() bool { return stats(t, w.engines[0]).Started > warm+20 })
+	w.engines[0] = startProcess(t, "engine-0", "standin", "--listen", address, "engine", "--cold", version, otherVersion)
+	waitUntil(t, "cold work", func() bool { return engineStats(t, w.engines[0]).MaxCold > 0 })
+	before := totalTokens(asked)
+	waitUntil(t, "traffic during the cold start", func() bool { return totalTokens(asked) > before+1000 })
+	require.LessOrEqual(t, engineStats(t, w.engines[0]).MaxCold, coldLimit)
+	require.NoError(t, call(http.MethodPost, address, "/warm", nil, nil))
+	warm := engineStats(t, w.engines[0]).Started
+	waitUntil(t, "warm work", func() bool { return engineStats(t, w.engines[0]).Started > warm+20 })
 	stop()
-	require.LessOrEqual(t, stats(t, w.engines[0]).MaxCold, coldLimit)
+	require.LessOrEqual(t, engineStats(t, w.engines[0]).MaxCold, coldLimit)
 }
 
-// A request crashes each engine that runs it, and its caller sends it to every VM.
-// It must be quarantined after two engines of three, also on the VMs that never
-// sent it: a crash is told to the others. Another prompt still gets its answer.
+// Guards against a request that crashes every engine because only the VM that sent it
+// knows of the crashes. The request must be quarantined after it has crashed two of
+// three engines, also on the VMs that never sent it. Another prompt must still succeed.
 func TestPoisonIsKnownToAllVMs(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, 3, 3)
-	ctx, cancel := context.WithTimeout(t.Context(), guard)
+	w := newTestbed(t, 3, 3)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for _, e := range w.engines {
-		w.faults(e, backend.EngineFaults{CrashOn: "poison"})
+		w.setFaults(e, backend.EngineFaults{CrashOn: "poison"})
 	}
 	crashes := func() (n int) {
 		for _, e := range w.engines {
-			n += stats(t, e).Crashes
+			n += engineStats(t, e).Crashes
 		}
 		return n
 	}
 	send := func(vm *process) outcome {
 		resp, err := post(ctx, vm, "/v1/chat/completions", http.Header{}, chatBody(version, "poison", 5))
 		require.NoError(t, err)
-		return refused(resp)
+		return decodeRefusal(resp)
 	}
-	until(t, "quarantined where it crashed engines", func() bool { return send(w.vms[0]).code == refusal.Quarantined })
+	waitUntil(t, "quarantined on the VM that sent the request", func() bool { return send(w.vms[0]).code == refusal.Quarantined })
 	most := crashes()
 	require.LessOrEqual(t, most, 2)
 	for _, vm := range w.vms[1:] {
-		until(t, vm.name+" was told", func() bool { return w.quarantines(vm) > 0 })
+		waitUntil(t, vm.name+" received the crash report", func() bool { return w.quarantineCount(vm) > 0 })
 		o := send(vm)
 		require.Equal(t, refusal.Quarantined, o.code, fmt.Sprint(o))
 	}
 	require.Equal(t, most, crashes())
 	for _, e := range w.engines {
-		require.NoError(t, ask(http.MethodPost, e.serving["address"], "/warm", nil, nil))
+		require.NoError(t, call(http.MethodPost, e.serving["address"], "/warm", nil, nil))
 	}
 	c := &caller{vms: w.vms}
-	require.True(t, c.ask(ctx, version, prompt, 5).whole)
+	require.True(t, c.streamAnswer(ctx, version, prompt, 5).complete)
 }
--- a/cmd/processtest/process_test.go
+++ b/cmd/processtest/process_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// binaries is where TestMain built the daemons.
+// binaries is the directory into which TestMain builds the daemons.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -37,55 +37,56 @@
 	}())
 }
 
-// guard only ends a test that would hang.
-const guard = 60 * time.Second
+// testTimeout limits each wait, so that a test can't hang.
+const testTimeout = 60 * time.Second
 
-// until polls for a state.
-func until(t testing.TB, what string, state func() bool) {
+// waitUntil polls until reached returns true. The test fails after testTimeout.
+func waitUntil(t testing.TB, what string, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(guard); !state(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			require.Fail(t, "not reached: "+what)
 		}
 	}
 }
 
-// process is one daemon.
+// process is one daemon or stand-in that runs as a child process.
 type process struct {
 	t    testing.TB
 	name string
 	cmd  *exec.Cmd
-	// serving holds the fields of the line by which it says where it serves.
+	// serving holds the fields of the log line "serving", which has the addresses.
 	serving map[string]string
-	ended   chan struct{}
-	err     error
+	ended   chan struct{} // closed once the process has ended
+	err     error         // result of cmd.Wait, set before ended is closed
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// run starts a process and waits until it serves.
-func run(t testing.TB, name, binary string, args ...string) *process {
+// startProcess starts a process and waits until it logs that it serves.
+func startProcess(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binaries, binary), args...), ended: make(chan struct{})}
 	out, err := p.cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, p.cmd.Start())
 	serving := make(chan map[string]string, 1)
-	go p.read(out, serving)
+	go p.readLog(out, serving)
 	t.Cleanup(p.kill)
 	select {
 	case p.serving = <-serving:
 	case <-p.ended:
-		require.Fail(t, name+" ended", p.text())
-	case <-time.After(guard):
-		require.Fail(t, name+" doesn't serve", p.text())
+		require.Fail(t, name+" ended", p.logText())
+	case <-time.After(testTimeout):
+		require.Fail(t, name+" did not start to serve", p.logText())
 	}
 	return p
 }
 
-// read keeps the log, finds the line "serving" and reaps the process.
-func (p *process) read(out io.Reader, serving chan<- map[string]string) {
+// readLog stores the log, sends the fields of the line "serving" and waits for the end
+// of the process.
+func (p *process) readLog(out io.Reader, serving chan<- map[string]string) {
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		p.mu.Lock()
@@ -108,7 +109,7 @@
 	close(p.ended)
 }
 
-func (p *process) text() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
@@ -117,14 +118,15 @@
 // signal sends a signal, if the process still runs.
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends it as kill -9 does and waits.
+// kill ends the process with SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// ask asks a stand-in or an operators' listener; an answer that is not 2xx is an error.
-func ask(method, address, path string, body, into any) error {
+// call sends a request to a stand-in or to a VM's operator API and decodes the JSON
+// answer. A status other than 2xx is an error.
+func call(method, address, path string, body, into any) error {
 	var in io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -137,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := controls.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -151,5 +153,5 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// controls bounds a question to a process that is frozen.
-var controls = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// controlClient has a timeout, because a suspended process does not answer.
+var controlClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/cmd/processtest/world_test.go
+++ b/cmd/processtest/world_test.go
@@ -23,16 +23,17 @@
 )
 
 const (
-	callerKey   = "baker-key"
-	operatorKey = "operator-key"
-	version     = "asistente-4"
-	other       = "asistente-5"
-	// spare certificates are for VMs that start in the course of a test.
-	spare = 2
+	callerKey    = "baker-key"
+	operatorKey  = "operator-key"
+	version      = "asistente-4"
+	otherVersion = "asistente-5"
+	// spareCertificates is the number of certificates for VMs that start during a test.
+	spareCertificates = 2
 )
 
-// world is a deployment in processes.
-type world struct {
+// testbed is a deployment of VMs, a platform stand-in, engines and services that run as
+// processes.
+type testbed struct {
 	t        testing.TB
 	platform *process
 	rating   *process
@@ -47,34 +48,35 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newWorld starts VMs before engines and a plain service, configured and ready.
-func newWorld(t testing.TB, vms, engines int) *world {
+// newTestbed starts VMs, engines and a plain service, writes the configuration and waits
+// until all VMs are ready and know each other.
+func newTestbed(t testing.TB, vms, engines int) *testbed {
 	t.Helper()
-	w := &world{t: t, dir: t.TempDir()}
-	w.platform = run(t, "platform", "platformd", "--listen", "127.0.0.1:0", "--vm-lag", "0s")
-	w.rating = run(t, "rating", "standin", "rating")
-	w.service = run(t, "service", "standin", "service")
+	w := &testbed{t: t, dir: t.TempDir()}
+	w.platform = startProcess(t, "platform", "platformd", "--listen", "127.0.0.1:0", "--vm-lag", "0s")
+	w.rating = startProcess(t, "rating", "standin", "rating")
+	w.service = startProcess(t, "service", "standin", "service")
 	for i := range engines {
-		w.engines = append(w.engines, run(t, fmt.Sprint("engine-", i), "standin", "engine", version, other))
+		w.engines = append(w.engines, startProcess(t, fmt.Sprint("engine-", i), "standin", "engine", version, otherVersion))
 	}
-	w.certify(vms + spare)
+	w.writeCertificates(vms + spareCertificates)
 	var seeds []string
 	for i := range vms {
-		vm := w.start(vmName(i), seeds...)
+		vm := w.startVM(vmName(i), seeds...)
 		w.vms = append(w.vms, vm)
 		seeds = append(seeds, peerAddress(t, vm))
 	}
 	w.configure()
 	for _, vm := range w.vms {
-		until(t, vm.name+" ready", func() bool { return ready(vm) })
-		until(t, vm.name+" knows the others", func() bool { return len(w.addresses(vm)) == min(vms, address.MaxAddresses) })
+		waitUntil(t, vm.name+" ready", func() bool { return ready(vm) })
+		waitUntil(t, vm.name+" knows the others", func() bool { return len(w.addresses(vm)) == min(vms, address.MaxAddresses) })
 	}
 	return w
 }
 
 func vmName(i int) string { return fmt.Sprint("vm-", i+1) }
 
-func (w *world) certify(n int) {
+func (w *testbed) writeCertificates(n int) {
 	var names []string
 	for i := range n {
 		names = append(names, vmName(i))
@@ -90,8 +92,8 @@
 	}
 }
 
-// start starts a VM; seeds are peers' addresses to start from.
-func (w *world) start(name string, seeds ...string) *process {
+// startVM starts a VM. The seeds are the addresses of peers through which it joins the fleet.
+func (w *testbed) startVM(name string, seeds ...string) *process {
 	w.t.Helper()
 	list, err := json.Marshal(seeds)
 	require.NoError(w.t, err)
@@ -107,21 +109,21 @@
 		"secret": "%[5]s", "operatorKeyHashes": ["%[6]s"], "rating": {"url": "http://%[7]s/rate"},
 		"keepAddresses": "1s", "spreadLeaving": "2s",
 	}`, name, w.dir, list, w.platform.serving["address"], hash("secret"), hash(operatorKey), w.rating.serving["address"]), 0o600))
-	return run(w.t, name, "goldcrestd", file)
+	return startProcess(w.t, name, "goldcrestd", file)
 }
 
-// peerAddress is where a VM's peers reach it.
+// peerAddress returns the address at which peers reach the VM.
 func peerAddress(t testing.TB, vm *process) string {
 	var state struct{ Peers struct{ Address string } }
-	require.NoError(t, ask(http.MethodGet, vm.serving["operators"], "/state", nil, &state))
+	require.NoError(t, call(http.MethodGet, vm.serving["operators"], "/state", nil, &state))
 	return state.Peers.Address
 }
 
 func ready(vm *process) bool {
-	return ask(http.MethodGet, vm.serving["operators"], "/readyz", nil, nil) == nil
+	return call(http.MethodGet, vm.serving["operators"], "/readyz", nil, nil) == nil
 }
 
-func (w *world) configure() {
+func (w *testbed) configure() {
 	selector := config.Selector{"use": {"test"}}
 	meta := func(name string) config.Meta {
 		return config.Meta{Name: name, Labels: map[string]string{"use": "test"}}
@@ -129,14 +131,14 @@
 	objects := []config.Object{
 		&config.DataCentre{Meta: meta("norte-a"), Region: "norte", State: config.DataCentreIn},
 		&config.ModelVersion{Meta: meta(version), Model: "asistente", State: config.VersionServing, Cost: 100, Quality: 0.6},
-		&config.ModelVersion{Meta: meta(other), Model: "asistente", State: config.VersionServing, Cost: 900, Quality: 0.9},
+		&config.ModelVersion{Meta: meta(otherVersion), Model: "asistente", State: config.VersionServing, Cost: 900, Quality: 0.9},
 		&config.Service{Meta: meta("conector"), Calls: []config.Call{{Method: "POST", Path: "/refunds"}}},
 		&config.Endpoint{Meta: meta("conector-1"), Address: w.service.serving["address"], DataCentre: "norte-a", Service: "conector", Slots: 30, ColdSlots: 1, State: config.EndpointServing},
 		&config.ClientAccount{Meta: meta("baker"), KeyHashes: []string{hash(callerKey)}, Class: config.ClassInteractive, Versions: selector, Services: selector},
 	}
 	for i, e := range w.engines {
 		objects = append(objects, &config.Endpoint{Meta: meta(fmt.Sprint("runner-", i)), Address: e.serving["address"], DataCentre: "norte-a",
-			Versions: []string{version, other}, Slots: 30, ColdSlots: 3, State: config.EndpointServing})
+			Versions: []string{version, otherVersion}, Slots: 30, ColdSlots: 3, State: config.EndpointServing})
 	}
 	var texts []json.RawMessage
 	for _, o := range objects {
@@ -149,8 +151,8 @@
 	w.change(w.vms[0], "/v1/apply", body)
 }
 
-// operators is the operators' client at the VMs given.
-func operators(vms ...*process) *client.Client {
+// operatorClient returns a client of the operator API of the given VMs.
+func operatorClient(vms ...*process) *client.Client {
 	c := &client.Client{Key: operatorKey, HTTP: &http.Client{Timeout: 20 * time.Second}}
 	for _, vm := range vms {
 		c.VMs = append(c.VMs, "http://"+vm.serving["operators"])
@@ -158,21 +160,21 @@
 	return c
 }
 
-// change makes a change at a VM and returns its revision.
-func (w *world) change(vm *process, path string, body []byte) int64 {
+// change sends a configuration change to a VM and returns the change's revision.
+func (w *testbed) change(vm *process, path string, body []byte) int64 {
 	w.t.Helper()
-	a, err := operators(vm).Do(w.t.Context(), client.Change{Method: http.MethodPost, Path: path, Body: body})
+	a, err := operatorClient(vm).Do(w.t.Context(), client.Change{Method: http.MethodPost, Path: path, Body: body})
 	require.NoError(w.t, err)
 	return a.Revision
 }
 
-// bills gives the requests billed by version, as one VM reads them.
-func (w *world) bills(vm *process) map[string]int64 {
+// billedRequests returns the number of billed requests by version, as read from one VM.
+func (w *testbed) billedRequests(vm *process) map[string]int64 {
 	w.t.Helper()
 	requests := make(map[string]int64)
-	// A test may run over midnight.
+	// A test may run past midnight, so the bills of two days are read.
 	for _, day := range []time.Time{time.Now().UTC().Add(-time.Hour), time.Now().UTC()} {
-		text, err := operators(vm).Read(w.t.Context(), "/v1/bills?day="+day.Format(time.DateOnly), 0)
+		text, err := operatorClient(vm).Read(w.t.Context(), "/v1/bills?day="+day.Format(time.DateOnly), 0)
 		require.NoError(w.t, err)
 		var rows []operator.Bill
 		require.NoError(w.t, json.Unmarshal(text, &rows))
@@ -183,41 +185,41 @@
 	return requests
 }
 
-// state is what the tests read of a VM's state dump.
-type state struct {
+// vmState holds the parts of a VM's state dump that the tests read.
+type vmState struct {
 	Running   int
 	BillsHeld int
 	Dispatch  struct{ Pools []struct{ Quarantined int } }
 }
 
-// quarantines is the number of requests that a VM refuses as poison.
-func (w *world) quarantines(vm *process) (n int) {
-	var s state
-	require.NoError(w.t, ask(http.MethodGet, vm.serving["operators"], "/state", nil, &s))
+// quarantineCount returns the number of requests that a VM has quarantined.
+func (w *testbed) quarantineCount(vm *process) (n int) {
+	var s vmState
+	require.NoError(w.t, call(http.MethodGet, vm.serving["operators"], "/state", nil, &s))
 	for _, p := range s.Dispatch.Pools {
 		n += p.Quarantined
 	}
 	return n
 }
 
-// settled waits until VMs have no request under way and no bill unwritten.
-func (w *world) settled(vms ...*process) {
+// awaitIdle waits until the VMs have no running request and no unwritten bill.
+func (w *testbed) awaitIdle(vms ...*process) {
 	w.t.Helper()
 	for _, vm := range vms {
-		until(w.t, vm.name+" settled", func() bool {
-			var s state
-			return ask(http.MethodGet, vm.serving["operators"], "/state", nil, &s) == nil && s.Running == 0 && s.BillsHeld == 0
+		waitUntil(w.t, vm.name+" is idle", func() bool {
+			var s vmState
+			return call(http.MethodGet, vm.serving["operators"], "/state", nil, &s) == nil && s.Running == 0 && s.BillsHeld == 0
 		})
 	}
 }
 
-// addresses is what a VM tells callers.
-func (w *world) addresses(vm *process) []string {
+// addresses returns the VM addresses that a VM returns to callers, or nil without an answer.
+func (w *testbed) addresses(vm *process) []string {
 	var list struct{ Addresses []struct{ Address string } }
 	req, err := http.NewRequest(http.MethodGet, "http://"+vm.serving["callers"]+"/v1/addresses", nil)
 	require.NoError(w.t, err)
 	req.Header.Set("Authorization", "Bearer "+callerKey)
-	resp, err := controls.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return nil
 	}
@@ -232,26 +234,26 @@
 	return out
 }
 
-// stats is what an engine saw.
-func stats(t testing.TB, e *process) (s backend.EngineStats) {
+// engineStats returns the statistics of an engine.
+func engineStats(t testing.TB, e *process) (s backend.EngineStats) {
 	t.Helper()
-	require.NoError(t, ask(http.MethodGet, e.serving["address"], "/stats", nil, &s))
+	require.NoError(t, call(http.MethodGet, e.serving["address"], "/stats", nil, &s))
 	return s
 }
 
-// started is the number of streams that began on all engines.
-func (w *world) started() (n int) {
+// startedStreams returns the number of streams that began on all engines.
+func (w *testbed) startedStreams() (n int) {
 	for _, e := range w.engines {
-		n += stats(w.t, e).Started
+		n += engineStats(w.t, e).Started
 	}
 	return n
 }
 
-// booked lists what the service booked.
-func (w *world) booked() map[string]int {
+// bookedOrders returns how many times the service booked each order, by idempotency key.
+func (w *testbed) bookedOrders() map[string]int {
 	w.t.Helper()
 	var all []string
-	require.NoError(w.t, ask(http.MethodGet, w.service.serving["address"], "/booked", nil, &all))
+	require.NoError(w.t, call(http.MethodGet, w.service.serving["address"], "/booked", nil, &all))
 	times := make(map[string]int)
 	for _, body := range all {
 		times[body]++
@@ -259,12 +261,12 @@
 	return times
 }
 
-// faults sets a stand-in's faults.
-func (w *world) faults(p *process, f any) {
+// setFaults replaces the faults that a stand-in injects.
+func (w *testbed) setFaults(p *process, f any) {
 	w.t.Helper()
-	require.NoError(w.t, ask(http.MethodPost, p.serving["address"], "/faults", f, nil))
+	require.NoError(w.t, call(http.MethodPost, p.serving["address"], "/faults", f, nil))
 }
 
-// freeze pauses a process; thaw lets it go on.
-func freeze(p *process) { p.signal(syscall.SIGSTOP) }
-func thaw(p *process)   { p.signal(syscall.SIGCONT) }
+// freeze suspends a process with SIGSTOP; unfreeze resumes it with SIGCONT.
+func freeze(p *process)   { p.signal(syscall.SIGSTOP) }
+func unfreeze(p *process) { p.signal(syscall.SIGCONT) }
