--- a/cmd/processtest/kill_test.go
+++ b/cmd/processtest/kill_test.go
@@ -106,7 +106,7 @@
 	var work sync.WaitGroup
 	work.Go(func() { _, _ = sendOrder(ctx, w.vms[0], "order", nil) })
 	waitUntil(t, "the order at the service", func() bool { return w.bookedOrders()["order"] == 1 })
-	freeze(w.vms[0])
+	suspend(w.vms[0])
 	started := w.startedStreams()
 
 	revision := w.change(w.vms[1], "/v1/model-version/"+version+"/withdraw", nil)
@@ -124,7 +124,7 @@
 		})
 	}
 	waitUntil(t, "the bound of the configuration's age", func() bool { return time.Since(withdrawn) > staleness.Bound })
-	unfreeze(w.vms[0])
+	resume(w.vms[0])
 	work.Wait()
 	for _, o := range refusals {
 		require.Contains(t, []refusal.Code{refusal.Stale, refusal.ModelNotAllowed, refusal.NoVersion}, o.code)
--- a/cmd/processtest/world_test.go
+++ b/cmd/processtest/world_test.go
@@ -267,6 +267,6 @@
 	require.NoError(w.t, call(http.MethodPost, p.serving["address"], "/faults", f, nil))
 }
 
-// freeze suspends a process with SIGSTOP; unfreeze resumes it with SIGCONT.
-func freeze(p *process)   { p.signal(syscall.SIGSTOP) }
-func unfreeze(p *process) { p.signal(syscall.SIGCONT) }
+// suspend stops a process with SIGSTOP; resume continues it with SIGCONT.
+func suspend(p *process) { p.signal(syscall.SIGSTOP) }
+func resume(p *process)  { p.signal(syscall.SIGCONT) }
