--- a/cmd/goldcrest-node/main.go
+++ b/cmd/goldcrest-node/main.go
@@ -1,5 +1,5 @@
-// Command goldcrest-node is one VM of a deployment on the users' machines: it takes
-// callers' requests, the directory's questions and the readiness checks.
+// Command goldcrest-node runs one VM of a deployment on the users' machines. It serves
+// callers' requests, address queries to the directory and readiness checks.
 package main
 
 import (
@@ -21,13 +21,15 @@
 	"goldcrestfork/platform"
 )
 
-// logLines is how many log lines wait for standard output; more are dropped and
-// counted, so that a reader that stands still never holds up a request.
-const logLines = 4096
+// logBufferLines is the number of log lines that are buffered for standard output. Further
+// lines are dropped and counted, so that a blocked reader never delays a request.
+const logBufferLines = 4096
 
-// logTime gives lines of several VMs an order within a second.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat has milliseconds, so that the log lines of several VMs can be ordered
+// within a second.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
+// cli defines the command line.
 type cli struct {
 	Settings string `help:"Path of the machine's settings file." placeholder:"FILE"`
 	Check    bool   `help:"Check the settings and exit."`
@@ -37,7 +39,7 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("goldcrest-node"), kong.Description("One VM before callers and endpoints."))
+	k := kong.Parse(&c, kong.Name("goldcrest-node"), kong.Description("Runs one VM, which forwards callers' requests to endpoints."))
 	if c.Settings == "" {
 		c.Settings = platform.SettingsPath()
 	}
@@ -51,41 +53,42 @@
 }
 
 func run(s node.Settings, c cli) error {
-	// Taken first of all: a SIGHUP that nobody takes ends the process, and with it each
-	// answer under way.
+	// The handler of SIGHUP is installed first, because an unhandled SIGHUP ends the
+	// process and every answer in progress.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	registry := prometheus.NewRegistry()
 	dropped := prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "goldcrest_log_lines_dropped_total", Help: "Log lines that standard output did not take in time.",
+		Name: "goldcrest_log_lines_dropped_total", Help: "Log lines dropped because standard output was too slow.",
 	})
 	registry.MustRegister(dropped)
-	out := diode.NewWriter(os.Stdout, logLines, 0, func(missed int) { dropped.Add(float64(missed)) })
+	out := diode.NewWriter(os.Stdout, logBufferLines, 0, func(missed int) { dropped.Add(float64(missed)) })
 	defer out.Close()
-	lvl, err := zerolog.ParseLevel(c.Level)
+	level, err := zerolog.ParseLevel(c.Level)
 	if err != nil {
 		return err
 	}
 	zerolog.DurationFieldInteger = true
-	zerolog.TimeFieldFormat = logTime
-	log := zerolog.New(out).Level(lvl).With().Timestamp().Str("vm", s.VM).Logger()
+	zerolog.TimeFieldFormat = logTimeFormat
+	log := zerolog.New(out).Level(level).With().Timestamp().Str("vm", s.VM).Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	n, err := node.New(s, platform.NewStore(s.Store, registry), edge(), registry, log)
+	n, err := node.New(s, platform.NewStore(s.Store, registry), newEdge(), registry, log)
 	if err != nil {
 		return err
 	}
-	go follow(ctx, hup, n, c.Settings, log)
+	go watchSettings(ctx, hup, n, c.Settings, log)
 	return n.Run(ctx)
 }
 
-// lookEvery is how often the settings file is read: it may change without a signal.
-const lookEvery = 3 * time.Second
+// settingsPollInterval is the time between two reads of the settings file, which may
+// change without a signal.
+const settingsPollInterval = 3 * time.Second
 
-// follow takes changes of the settings file, on SIGHUP at once. A file that can't be
-// read or holds a wrong value changes nothing.
-func follow(ctx context.Context, hup <-chan os.Signal, n *node.Node, path string, log zerolog.Logger) {
-	t := time.NewTicker(lookEvery)
+// watchSettings applies changes of the settings file until ctx ends, on SIGHUP at once. A
+// file that can't be read or has a wrong value changes nothing.
+func watchSettings(ctx context.Context, hup <-chan os.Signal, n *node.Node, path string, log zerolog.Logger) {
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	last, err := os.ReadFile(path)
 	if err != nil {
@@ -100,11 +103,11 @@
 			signalled = true
 		case <-t.C:
 		}
-		now, err := os.ReadFile(path)
-		if err == nil && bytes.Equal(now, last) && !signalled {
+		current, err := os.ReadFile(path)
+		if err == nil && bytes.Equal(current, last) && !signalled {
 			continue
 		}
-		last = now
+		last = current
 		s, err := platform.ReadSettings(path)
 		s.MetricsPort = n.MetricsPort()
 		if err != nil {
@@ -115,7 +118,8 @@
 	}
 }
 
-func edge() node.Edge {
+// newEdge returns the header names, paths and message formats of the platform.
+func newEdge() node.Edge {
 	return node.Edge{
 		Names:         platform.Names(),
 		ReadyPath:     platform.PathReady,
@@ -123,7 +127,7 @@
 		DataCentreOf:  func(r *http.Request) string { return platform.ReadQuestion(r).DataCentre },
 		WriteAddresses: func(w http.ResponseWriter, addresses []string, ttl time.Duration) {
 			w.Header().Set("Content-Type", "application/json")
-			// A caller that left takes no answer; there is nothing to do about it.
+			// Encoding fails if the caller has disconnected, which needs no handling.
 			_ = json.NewEncoder(w).Encode(platform.Addresses{Addresses: addresses, TTL: ttl.Seconds()})
 		},
 	}
--- a/cmd/goldcrest-node/process_test.go
+++ b/cmd/goldcrest-node/process_test.go
@@ -25,6 +25,7 @@
 	"goldcrestfork/platform/platformtest"
 )
 
+// binary is the path of the program that TestMain builds.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -43,34 +44,34 @@
 	os.Exit(code)
 }
 
-// vm is one process of the program.
+// vm is one VM, whose process may be started several times.
 type vm struct {
-	t        *testing.T
-	cmd      *exec.Cmd
-	settings string
-	front    string
-	side     string
-	metrics  int
-	mu       sync.Mutex
-	lines    []string
-	first    int // of this life's lines
-	done     chan error
+	t         *testing.T
+	cmd       *exec.Cmd
+	settings  string // path of the settings file
+	front     string // address for callers' requests
+	directory string // address of the directory and of the readiness check
+	metrics   int    // port of the metrics
+	mu        sync.Mutex
+	lines     []string
+	firstLine int // index of the current process's first line in lines
+	done      chan error
 }
 
 const (
-	// firstPort and ports are below the range from which the system draws ports for
-	// outgoing connections: one of those could take a process's port while it is down.
+	// The portCount ports from firstPort are below the range that the system assigns to
+	// outgoing connections. Such a connection could take a process's port while it is down.
 	firstPort = 15000
-	ports     = 15000
+	portCount = 15000
 )
 
-// freePort draws a port that no test here has drawn; TCP and UDP have it free, and the
-// one after it, which a VM uses between VMs as well.
+// freePort returns a random port that no test of this run has used. The port and the next
+// one, which a VM also uses for traffic between VMs, are free for TCP and UDP.
 func freePort(t *testing.T) int {
 	t.Helper()
 	for range 1000 {
-		port := firstPort + 2*rand.IntN(ports/2)
-		if _, taken := drawn.LoadOrStore(port, true); !taken && free(port) && free(port+1) {
+		port := firstPort + 2*rand.IntN(portCount/2)
+		if _, taken := usedPorts.LoadOrStore(port, true); !taken && isFree(port) && isFree(port+1) {
 			return port
 		}
 	}
@@ -78,7 +79,7 @@
 	return 0
 }
 
-func free(port int) bool {
+func isFree(port int) bool {
 	address := fmt.Sprintf("127.0.0.1:%d", port)
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -93,23 +94,25 @@
 	return true
 }
 
-// drawn are the ports that this run has given out.
-var drawn sync.Map
+// usedPorts holds the ports that freePort has returned in this run.
+var usedPorts sync.Map
 
-func start(t *testing.T, store, name string, more ...string) *vm {
+// startVM writes the settings of a VM with the given name, starts it and kills it when the
+// test ends. The extra settings are lines of the settings file.
+func startVM(t *testing.T, store, name string, extraSettings ...string) *vm {
 	t.Helper()
 	v := &vm{t: t, settings: filepath.Join(t.TempDir(), "node.conf"), done: make(chan error, 1)}
 	v.front = fmt.Sprintf("127.0.0.1:%d", freePort(t))
-	v.side = fmt.Sprintf("127.0.0.1:%d", freePort(t))
-	inner := freePort(t)
-	v.write(append([]string{
+	v.directory = fmt.Sprintf("127.0.0.1:%d", freePort(t))
+	internalPort := freePort(t)
+	v.writeSettings(append([]string{
 		"nodeName=" + name, "ip=127.0.0.1", "zone=a", "region=north", "zones.a=north",
-		"listen.front=" + v.front, "listen.ready=" + v.side, "listen.directory=" + v.side,
-		fmt.Sprintf("internalPorts=%d,%d", inner, inner+1), "limits.memoryMb=284",
+		"listen.front=" + v.front, "listen.ready=" + v.directory, "listen.directory=" + v.directory,
+		fmt.Sprintf("internalPorts=%d,%d", internalPort, internalPort+1), "limits.memoryMb=284",
 		"bounds.gracePeriodS=4", "platform.address=" + store,
-	}, more...)...)
+	}, extraSettings...)...)
 	v.metrics = freePort(t)
-	v.spawn()
+	v.startProcess()
 	t.Cleanup(func() {
 		_ = v.cmd.Process.Kill()
 		<-v.done
@@ -117,25 +120,25 @@
 	return v
 }
 
-// spawn starts the process, again after it has ended.
-func (v *vm) spawn() {
+// startProcess starts the process, for the first time or after it has ended.
+func (v *vm) startProcess() {
 	v.cmd = exec.Command(binary, "--metrics-port", fmt.Sprint(v.metrics))
 	v.cmd.Env = append(os.Environ(), platform.SettingsVar+"="+v.settings)
 	out, err := v.cmd.StdoutPipe()
 	require.NoError(v.t, err)
 	v.cmd.Stderr = os.Stderr
 	v.mu.Lock()
-	v.first = len(v.lines)
+	v.firstLine = len(v.lines)
 	v.mu.Unlock()
 	require.NoError(v.t, v.cmd.Start())
-	go v.read(out)
+	go v.readLog(out)
 }
 
-// started says that this life of the process has said so.
-func (v *vm) started() bool {
+// hasStarted reports whether the current process has logged that it has started.
+func (v *vm) hasStarted() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, l := range v.lines[v.first:] {
+	for _, l := range v.lines[v.firstLine:] {
 		if strings.Contains(l, `"message":"started"`) {
 			return true
 		}
@@ -143,11 +146,11 @@
 	return false
 }
 
-func (v *vm) write(lines ...string) {
+func (v *vm) writeSettings(lines ...string) {
 	require.NoError(v.t, os.WriteFile(v.settings, []byte(strings.Join(lines, "\n")+"\n"), 0o600))
 }
 
-func (v *vm) read(out io.Reader) {
+func (v *vm) readLog(out io.Reader) {
 	sc := bufio.NewScanner(out)
 	for sc.Scan() {
 		v.mu.Lock()
@@ -157,8 +160,8 @@
 	v.done <- v.cmd.Wait()
 }
 
-// logged waits for a log line that holds all of the words.
-func (v *vm) logged(words ...string) string {
+// awaitLog waits for a log line that contains all of the words and returns it.
+func (v *vm) awaitLog(words ...string) string {
 	v.t.Helper()
 	var found string
 	require.Eventually(v.t, func() bool {
@@ -180,7 +183,7 @@
 }
 
 func (v *vm) ready() bool {
-	resp, err := http.Get("http://" + v.side + platform.PathReady)
+	resp, err := http.Get("http://" + v.directory + platform.PathReady)
 	if err != nil {
 		return false
 	}
@@ -193,9 +196,9 @@
 	require.Eventually(v.t, func() bool { return v.ready() == want }, 20*time.Second, 10*time.Millisecond)
 }
 
-// addresses asks the VM's directory; nil for no answer.
+// addresses returns the VM addresses from the VM's directory, or nil if there is no answer.
 func (v *vm) addresses() []string {
-	resp, err := http.Get("http://" + v.side + platform.PathResolve + "?name=h&zone=a")
+	resp, err := http.Get("http://" + v.directory + platform.PathResolve + "?name=h&zone=a")
 	if err != nil {
 		return nil
 	}
@@ -207,8 +210,9 @@
 	return a.Addresses
 }
 
-// world is a store with one service of one endpoint, whose answers wait for release.
-func world(t *testing.T) (store *platformtest.Store, address string, entered chan struct{}, release chan struct{}) {
+// newTestbed returns a platform store with a service that has one endpoint. The endpoint
+// sends on entered for each request and answers once release is closed.
+func newTestbed(t *testing.T) (store *platformtest.Store, address string, entered chan struct{}, release chan struct{}) {
 	t.Helper()
 	store, address = platformtest.New(t)
 	entered, release = make(chan struct{}, 16), make(chan struct{})
@@ -216,7 +220,7 @@
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case entered <- struct{}{}:
-		default: // the test has seen enough
+		default: // entered is full because the test no longer reads it
 		}
 		select {
 		case <-release:
@@ -243,7 +247,8 @@
 	return store, address, entered, release
 }
 
-func ask(ctx context.Context, front, id string) (int, string, error) {
+// sendRequest sends a POST request to a VM and returns the status and the body.
+func sendRequest(ctx context.Context, front, id string) (int, string, error) {
 	n := platform.Names()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+front+"/a/b", strings.NewReader("x"))
 	if err != nil {
@@ -262,81 +267,81 @@
 	return resp.StatusCode, string(b), err
 }
 
-type asked struct {
+type response struct {
 	status int
 	body   string
 	err    error
 }
 
-// A booking is at its endpoint when the settings change and the VM is told by SIGHUP,
-// which by itself would end the process; then the VM is told to stop by SIGTERM. The
-// booking's caller must get its answer. Meanwhile the VM isn't ready and other VMs name
-// it no more, new requests are still served, and it exits by itself before its time.
+// Guards against SIGHUP, which ends a process by default, or SIGTERM cutting a request
+// that can't be repeated. After SIGTERM the VM must not be ready and other VMs must not
+// list it, but it must still serve new requests and exit by itself within the grace period.
 func TestSignalsLoseNoRequest(t *testing.T) {
-	_, store, entered, release := world(t)
-	a, b := start(t, store, "vm-a"), start(t, store, "vm-b")
+	_, store, entered, release := newTestbed(t)
+	a, b := startVM(t, store, "vm-a"), startVM(t, store, "vm-b")
 	a.awaitReady(true)
 	b.awaitReady(true)
 	require.Eventually(t, func() bool { return len(b.addresses()) == 2 }, 20*time.Second, 10*time.Millisecond)
 
-	answer := make(chan asked, 2)
+	responses := make(chan response, 2)
 	send := func(id string) {
-		status, body, err := ask(context.Background(), a.front, id)
-		answer <- asked{status, body, err}
+		status, body, err := sendRequest(context.Background(), a.front, id)
+		responses <- response{status, body, err}
 	}
 	go send("r1")
 	<-entered
 	text, err := os.ReadFile(a.settings)
 	require.NoError(t, err)
-	a.write(strings.TrimSpace(string(text)), "bounds.revocationMs=4000")
+	a.writeSettings(strings.TrimSpace(string(text)), "bounds.revocationMs=4000")
 	require.NoError(t, a.cmd.Process.Signal(syscall.SIGHUP))
-	a.logged("settings read again", `"bounds_changed":true`, `"needs_restart":false`)
+	a.awaitLog("settings read again", `"bounds_changed":true`, `"needs_restart":false`)
 
 	require.NoError(t, a.cmd.Process.Signal(syscall.SIGTERM))
-	a.logged(`"message":"stopping"`)
+	a.awaitLog(`"message":"stopping"`)
 	a.awaitReady(false)
 	require.Eventually(t, func() bool { return len(b.addresses()) == 1 }, 20*time.Second, 10*time.Millisecond)
 	go send("r2")
 	<-entered
 	close(release)
 	for range 2 {
-		got := <-answer
+		got := <-responses
 		require.NoError(t, got.err)
-		require.Equal(t, asked{http.StatusOK, "whole", nil}, got)
+		require.Equal(t, response{http.StatusOK, "whole", nil}, got)
 	}
 	require.NoError(t, <-a.done)
 	a.done <- nil
-	a.logged(`"message":"stopped"`, `"cut":0`)
+	a.awaitLog(`"message":"stopped"`, `"cut":0`)
 }
 
-// The store is lost to all VMs. A key may be taken away meanwhile, so that none may be
-// honoured for longer than the bound; VMs that read from each other must not keep their
-// proof alive between them. When the store is back they serve again.
+// Guards against VMs that keep accepting keys while the platform's store is unavailable,
+// because they confirm the configuration to each other. A key may be revoked meanwhile, so
+// no key may be accepted for longer than the bound. The VMs must serve again afterwards.
 func TestNoKeyIsHonouredWithoutTheStore(t *testing.T) {
-	store, address, _, release := world(t)
+	store, address, _, release := newTestbed(t)
 	close(release)
-	a, b := start(t, address, "vm-a"), start(t, address, "vm-b")
+	a, b := startVM(t, address, "vm-a"), startVM(t, address, "vm-b")
 	a.awaitReady(true)
 	b.awaitReady(true)
-	status, _, err := ask(t.Context(), a.front, "before")
+	status, _, err := sendRequest(t.Context(), a.front, "before")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status)
 	store.Override(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
-	a.logged("platform lost", `"kind":"configuration"`)
+	a.awaitLog("platform lost", `"kind":"configuration"`)
 	a.awaitReady(false)
 	require.Eventually(t, func() bool {
-		status, _, err := ask(t.Context(), a.front, "cut")
+		status, _, err := sendRequest(t.Context(), a.front, "cut")
 		return err == nil && status == http.StatusServiceUnavailable
 	}, 20*time.Second, 20*time.Millisecond)
 	store.Override(nil)
-	a.logged("platform regained", `"kind":"configuration"`)
+	a.awaitLog("platform regained", `"kind":"configuration"`)
 	a.awaitReady(true)
 }
 
-// Settings that lack a field end the start with one line that names it.
+// Guards against settings without a required field that don't end the start with one line
+// that names the field.
 func TestWrongSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(path, []byte("nodeName=x\nzone=a\n"), 0o600))
--- a/cmd/goldcrest-node/sessions_test.go
+++ b/cmd/goldcrest-node/sessions_test.go
@@ -19,19 +19,19 @@
 	"goldcrestfork/policy/trial"
 )
 
-// versioned is a store with a streaming service whose endpoints name their version in one
-// event, and end a stream of /a/held when released.
-type versioned struct {
+// versionedService is a platform store with a streaming service. Its endpoints send their
+// version in one event and end a stream of /a/held once release is closed.
+type versionedService struct {
 	*platformtest.Store
-	t       *testing.T
-	address string
-	release chan struct{}
-	asked   atomic.Int64
+	t            *testing.T
+	address      string
+	release      chan struct{}
+	requestCount atomic.Int64
 }
 
-func newVersioned(t *testing.T) *versioned {
+func newVersionedService(t *testing.T) *versionedService {
 	store, address := platformtest.New(t)
-	v := &versioned{Store: store, t: t, address: address, release: make(chan struct{})}
+	v := &versionedService{Store: store, t: t, address: address, release: make(chan struct{})}
 	store.Put("config", "main", map[string]any{
 		"version":  1,
 		"routes":   []any{map[string]any{"name": "r", "host": "h", "pathPrefix": "/a/", "kind": "streaming", "service": "s", "maxAttempts": 1, "timeoutMs": 60000}},
@@ -41,14 +41,15 @@
 	return v
 }
 
-// answerTime is long beside a busy machine's delays: a trial compares versions by it.
-const answerTime = 100 * time.Millisecond
+// answerDelay is long compared with the delays of a busy machine, because a roll-out's
+// trial compares versions by their answer times.
+const answerDelay = 100 * time.Millisecond
 
-// endpoint starts an endpoint of a version.
-func (v *versioned) endpoint(id, version string) {
+// startEndpoint starts an endpoint that serves the given version and registers it.
+func (v *versionedService) startEndpoint(id, version string) {
 	n := platform.Names()
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-time.After(answerTime)
+		<-time.After(answerDelay)
 		w.Header().Set(n.RequestID, r.Header.Get(n.RequestID))
 		w.Header().Set(n.Signature, "sig")
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -70,13 +71,14 @@
 	})
 }
 
-// stream opens a stream of a session and returns the version that serves it.
-func (v *versioned) stream(vm *vm, path, session string) (version string, body io.ReadCloser) {
+// openStream opens a stream in a session and returns the version that serves it and the
+// open body.
+func (v *versionedService) openStream(vm *vm, path, session string) (version string, body io.ReadCloser) {
 	n := platform.Names()
 	req, err := http.NewRequestWithContext(v.t.Context(), http.MethodPost, "http://"+vm.front+path, strings.NewReader("x"))
 	require.NoError(v.t, err)
 	req.Host = "h"
-	req.Header.Set(n.RequestID, fmt.Sprint("r", v.asked.Add(1)))
+	req.Header.Set(n.RequestID, fmt.Sprint("r", v.requestCount.Add(1)))
 	req.Header.Set(n.Key, "k")
 	req.Header.Set(n.Deadline, "60000")
 	req.Header.Set(n.Session, session)
@@ -93,26 +95,27 @@
 	return "", nil
 }
 
-// serves is the version that serves a session's next request.
-func (v *versioned) serves(vm *vm, session string) string {
-	version, body := v.stream(vm, "/a/short", session)
+// servingVersion sends a request in a session and returns the version that serves it.
+func (v *versionedService) servingVersion(vm *vm, session string) string {
+	version, body := v.openStream(vm, "/a/short", session)
 	body.Close()
 	return version
 }
 
-// Guards against a session that changes its version from VM to VM, or when a VM that keeps it stops.
+// Guards against a session that changes its version from VM to VM, or when a VM that stores
+// the session's version stops.
 func TestSessionKeepsItsVersionOverVMs(t *testing.T) {
-	v := newVersioned(t)
-	v.endpoint("e1", "v1")
+	v := newVersionedService(t)
+	v.startEndpoint("e1", "v1")
 	more := []string{"bounds.sessionS=1", "bounds.exposureShare=0.4"}
-	a, b, c := start(t, v.address, "vm-a", more...), start(t, v.address, "vm-b", more...), start(t, v.address, "vm-c", more...)
+	a, b, c := startVM(t, v.address, "vm-a", more...), startVM(t, v.address, "vm-b", more...), startVM(t, v.address, "vm-c", more...)
 	vms := []*vm{a, b, c}
 	for _, m := range vms {
 		m.awaitReady(true)
 		require.Eventually(t, func() bool { return len(m.addresses()) == len(vms) }, 20*time.Second, 10*time.Millisecond)
 	}
 	next := 0
-	trying := func() string {
+	newTrialSession := func() string {
 		for {
 			next++
 			if id := fmt.Sprint("session", next); trial.SessionOf("s", id).Tries(trial.Share(0.4)) {
@@ -120,30 +123,30 @@
 			}
 		}
 	}
-	early := trying()
-	version, held := v.stream(a, "/a/held", early)
-	defer held.Close()
+	oldSession := newTrialSession()
+	version, oldStream := v.openStream(a, "/a/held", oldSession)
+	defer oldStream.Close()
 	require.Equal(t, "v1", version)
 
 	v.Put("rollouts", "s", map[string]any{"service": "s", "target": "v2", "durationS": 600})
-	v.endpoint("e2", "v2")
+	v.startEndpoint("e2", "v2")
 	for _, m := range vms {
-		require.Eventually(t, func() bool { return v.serves(m, trying()) == "v2" }, 30*time.Second, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return v.servingVersion(m, newTrialSession()) == "v2" }, 30*time.Second, 20*time.Millisecond)
 	}
-	late := trying()
-	version, held2 := v.stream(b, "/a/held", late)
-	defer held2.Close()
+	newSession := newTrialSession()
+	version, newStream := v.openStream(b, "/a/held", newSession)
+	defer newStream.Close()
 	require.Equal(t, "v2", version)
-	both := func(vms ...*vm) {
+	requireVersions := func(vms ...*vm) {
 		for _, m := range vms {
-			require.Equal(t, "v1", v.serves(m, early))
-			require.Equal(t, "v2", v.serves(m, late))
+			require.Equal(t, "v1", v.servingVersion(m, oldSession))
+			require.Equal(t, "v2", v.servingVersion(m, newSession))
 		}
 	}
-	both(a, b, c)
+	requireVersions(a, b, c)
 	require.NoError(t, c.cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, <-c.done)
 	c.done <- nil
-	both(a, b)
+	requireVersions(a, b)
 	close(v.release)
 }
--- a/cmd/goldcrest-node/soak_test.go
+++ b/cmd/goldcrest-node/soak_test.go
@@ -23,31 +23,32 @@
 	"goldcrestfork/platform/platformtest"
 )
 
-// The soak runs three real processes before four endpoints and a store, each VM's path to
-// the store through a proxy of its own, and injects faults from outside in series that
-// overlap. GOLDCREST_SOAK_SEEDS names other seeds, GOLDCREST_SOAK_SECONDS another length.
+// The soak test runs three VM processes with four endpoints and a store. Each VM reaches
+// the store through its own proxy. The test injects overlapping random faults from outside.
+// GOLDCREST_SOAK_SEEDS sets other seeds, GOLDCREST_SOAK_SECONDS another length.
 const (
 	soakLength     = 6 * time.Second
-	soakRevocation = 2 * time.Second // the bound that the VMs are told
+	soakRevocation = 2 * time.Second // the VMs' setting bounds.revocationMs
 )
 
-// vmGone: a VM's process was missing at the end. Most likely SIGHUP met it while it
-// started; exits by it were seen when these seeds ran again, not at the failures.
-const vmGone = "a process was gone at the end; SIGHUP while it started is the likely cause"
+// vmMissing is the cause of seeds that ended without one of the VM processes. The likely
+// cause is a SIGHUP during the start of the process: such exits occurred in repeated runs
+// of these seeds, but were not recorded in the failed runs.
+const vmMissing = "a process was missing at the end; SIGHUP during its start is the likely cause"
 
-// regressions are seeds that failed once, each with its cause. Signals meet processes by
-// the wall clock, so that a seed repeats the order of the faults and not their moments.
+// regressions maps seeds that have failed to the cause. Signals reach processes by the wall
+// clock, so a seed reproduces the order of the faults but not their exact times.
 var regressions = map[uint64]string{
-	2:  vmGone,
-	9:  vmGone,
-	16: vmGone,
-	21: vmGone,
-	27: vmGone,
-	31: vmGone,
-	32: vmGone,
-	35: vmGone,
-	41: vmGone,
-	52: vmGone,
+	2:  vmMissing,
+	9:  vmMissing,
+	16: vmMissing,
+	21: vmMissing,
+	27: vmMissing,
+	31: vmMissing,
+	32: vmMissing,
+	35: vmMissing,
+	41: vmMissing,
+	52: vmMissing,
 }
 
 func TestSoak(t *testing.T) {
@@ -68,23 +69,25 @@
 		length = time.Duration(s) * time.Second
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { soak(t, seed, length) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSoak(t, seed, length) })
 	}
 }
 
-// proxy passes a VM's connections to the store on, late, not at all, or resets them.
+// proxy forwards a VM's connections to the store. Depending on its mode it delays or
+// discards the data, or closes the connections.
 type proxy struct {
 	net.Listener
 	target string
 	mode   atomic.Int32
 }
 
+// Modes of a proxy.
 const (
-	passing = iota
-	late
-	silent
-	resetting
-	proxyModes
+	proxyForward = iota
+	proxyDelay
+	proxyDiscard
+	proxyReset
+	proxyModeCount
 )
 
 func newProxy(t *testing.T, target string) *proxy {
@@ -124,12 +127,12 @@
 			return
 		}
 		switch p.mode.Load() {
-		case late:
+		case proxyDelay:
 			time.Sleep(200 * time.Millisecond)
-		case resetting:
+		case proxyReset:
 			return
-		case silent:
-			continue // taken and never passed on
+		case proxyDiscard:
+			continue // discards the data
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
@@ -137,55 +140,57 @@
 	}
 }
 
-// record is what one request came to, by its caller and by the endpoints.
+// record holds the result of one request as seen by its caller, and the number of times
+// that endpoints ran it.
 type record struct {
-	once   bool
-	key    string
-	sent   time.Time
-	status int
-	runs   int
+	nonRepeatable bool
+	key           string
+	sent          time.Time
+	status        int
+	runs          int
 }
 
-// soakWorld is the state that callers, endpoints and faults share.
-type soakWorld struct {
+// soakTestbed holds the state that callers, endpoints and faults share.
+type soakTestbed struct {
 	t       *testing.T
 	store   *platformtest.Store
 	vms     []*vm
 	proxies []*proxy
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	records  map[string]*record
-	version  int
-	keys     []string             // in the configuration
-	revoked  map[string]time.Time // when the store had accepted it
-	wrong    []string
-	troubled bool
-	arrived  map[string]int // requests by endpoint
+	mu            sync.Mutex
+	rng           *rand.Rand
+	records       map[string]*record
+	version       int
+	keys          []string             // in the configuration
+	revokedAt     map[string]time.Time // time at which the store accepted the removal, by key
+	violations    []string
+	faultsActive  bool
+	requestCounts map[string]int // requests by endpoint
 }
 
-func (w *soakWorld) draw(n int) int {
+func (w *soakTestbed) randomInt(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
-// endpoint answers one request, at times as a faulty one does.
-func (w *soakWorld) endpoint(name string) http.HandlerFunc {
+// endpoint returns the handler of an endpoint that injects random failures while
+// faultsActive is set.
+func (w *soakTestbed) endpoint(name string) http.HandlerFunc {
 	n := platform.Names()
 	return func(rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(n.RequestID)
 		w.mu.Lock()
-		w.arrived[name]++
+		w.requestCounts[name]++
 		fault := 100
-		if w.troubled {
+		if w.faultsActive {
 			fault = w.rng.IntN(100)
 		}
 		if fault >= 5 {
 			if rec := w.records[id]; rec != nil {
 				rec.runs++
 			} else {
-				w.wrong = append(w.wrong, "an endpoint ran "+id+", which nobody sent")
+				w.violations = append(w.violations, "an endpoint ran "+id+", which no caller sent")
 			}
 		}
 		w.mu.Unlock()
@@ -213,8 +218,8 @@
 	}
 }
 
-// configure writes the next configuration with the keys in force.
-func (w *soakWorld) configure(keys []string) {
+// configure writes the next configuration with the given API keys.
+func (w *soakTestbed) configure(keys []string) {
 	w.version++
 	route := func(name, kind string) map[string]any {
 		return map[string]any{"name": name, "host": "h", "pathPrefix": "/" + name + "/", "kind": kind, "service": "s", "maxAttempts": 3, "timeoutMs": 5000}
@@ -225,22 +230,23 @@
 	})
 }
 
-func (w *soakWorld) serverEntry(name, address, state string) {
+func (w *soakTestbed) serverEntry(name, address, state string) {
 	w.store.Put("servers", name, map[string]any{
 		"service": "s", "address": address, "zone": "a", "version": "v1", "slots": 8, "state": state,
 	})
 }
 
-// call sends one request and checks its answer.
-func (w *soakWorld) call(ctx context.Context, client *http.Client, id string) int {
+// call sends one request through a random VM, records the result and checks the answer.
+// It returns the status, or 0 without an answer.
+func (w *soakTestbed) call(ctx context.Context, client *http.Client, id string) int {
 	n := platform.Names()
 	w.mu.Lock()
-	rec := &record{once: w.rng.IntN(2) == 0, key: w.keys[w.rng.IntN(len(w.keys))], sent: time.Now()}
+	rec := &record{nonRepeatable: w.rng.IntN(2) == 0, key: w.keys[w.rng.IntN(len(w.keys))], sent: time.Now()}
 	w.records[id] = rec
 	front := w.vms[w.rng.IntN(len(w.vms))].front
 	w.mu.Unlock()
 	method, path := http.MethodGet, "/again/"+id
-	if rec.once {
+	if rec.nonRepeatable {
 		method, path = http.MethodPost, "/once/"+id
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+front+path, nil)
@@ -261,16 +267,16 @@
 	defer w.mu.Unlock()
 	rec.status = resp.StatusCode
 	if resp.StatusCode == http.StatusOK && err == nil && string(body) != "whole:"+id {
-		w.wrong = append(w.wrong, fmt.Sprintf("%s got %q", id, body))
+		w.violations = append(w.violations, fmt.Sprintf("%s got %q", id, body))
 	}
 	return resp.StatusCode
 }
 
-// fault injects one fault and, where it ends, its end a little later.
-func (w *soakWorld) fault(wg *sync.WaitGroup, signals []*sync.Mutex) {
-	i := w.draw(len(w.vms))
+// injectFault starts one random fault and ends it in the background, if it has an end.
+func (w *soakTestbed) injectFault(wg *sync.WaitGroup, signalLocks []*sync.Mutex) {
+	i := w.randomInt(len(w.vms))
 	v, p := w.vms[i], w.proxies[i]
-	lasts := time.Duration(200+w.draw(2000)) * time.Millisecond
+	duration := time.Duration(200+w.randomInt(2000)) * time.Millisecond
 	background := func(f func()) {
 		wg.Add(1)
 		go func() {
@@ -280,22 +286,22 @@
 	}
 	signal := func(end syscall.Signal, respawn bool) {
 		background(func() {
-			signals[i].Lock()
-			defer signals[i].Unlock()
-			started := v.started()
+			signalLocks[i].Lock()
+			defer signalLocks[i].Unlock()
+			started := v.hasStarted()
 			_ = v.cmd.Process.Signal(end)
 			if end == syscall.SIGHUP {
-				w.survives(v, started)
+				w.checkSurvivesHangup(v, started)
 			} else if respawn {
 				<-v.done
-				v.spawn()
+				v.startProcess()
 			} else if end == syscall.SIGSTOP {
-				time.Sleep(lasts)
+				time.Sleep(duration)
 				_ = v.cmd.Process.Signal(syscall.SIGCONT)
 			}
 		})
 	}
-	switch w.draw(8) {
+	switch w.randomInt(8) {
 	case 0:
 		signal(syscall.SIGKILL, true)
 	case 1:
@@ -305,55 +311,55 @@
 	case 3:
 		signal(syscall.SIGHUP, false)
 	case 4, 5:
-		p.mode.Store(int32(1 + w.draw(proxyModes-1)))
-		background(func() { time.Sleep(lasts); p.mode.Store(passing) })
-	case 6: // the store is away for all
+		p.mode.Store(int32(1 + w.randomInt(proxyModeCount-1)))
+		background(func() { time.Sleep(duration); p.mode.Store(proxyForward) })
+	case 6: // the store is unavailable to all VMs
 		for _, p := range w.proxies {
-			p.mode.Store(resetting)
+			p.mode.Store(proxyReset)
 		}
 		background(func() {
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			for _, p := range w.proxies {
-				p.mode.Store(passing)
+				p.mode.Store(proxyForward)
 			}
 		})
-	case 7: // one key goes, another comes
+	case 7: // one key is replaced by another
 		w.mu.Lock()
-		gone := w.keys[0]
+		removedKey := w.keys[0]
 		w.keys = append(w.keys[1:], fmt.Sprint("key", w.version))
 		w.configure(w.keys)
-		w.revoked[gone] = time.Now()
+		w.revokedAt[removedKey] = time.Now()
 		w.mu.Unlock()
 	}
 }
 
-// hangup is how long a process that doesn't take SIGHUP has to end.
-const hangup = 500 * time.Millisecond
+// hangupTimeout is the time in which a process that doesn't handle SIGHUP ends.
+const hangupTimeout = 500 * time.Millisecond
 
-// survives demands that a process that has started lives on after SIGHUP. One that is
-// hit before its runtime takes signals ends as the system has it, and is started again,
-// as the platform starts what ends; without that a VM was missing at the end.
-func (w *soakWorld) survives(v *vm, started bool) {
+// checkSurvivesHangup checks that a process that has started keeps running after SIGHUP. A
+// process that gets the signal before its runtime handles signals ends by default. It is
+// started again, as the platform would do, because it would otherwise be missing at the end.
+func (w *soakTestbed) checkSurvivesHangup(v *vm, started bool) {
 	select {
 	case err := <-v.done:
 		if started {
 			w.mu.Lock()
-			w.wrong = append(w.wrong, fmt.Sprintf("%s ended after SIGHUP: %v", v.front, err))
+			w.violations = append(w.violations, fmt.Sprintf("%s ended after SIGHUP: %v", v.front, err))
 			w.mu.Unlock()
 		}
 		w.t.Logf("ended by SIGHUP while starting: %v", err)
-		v.spawn()
-	case <-time.After(hangup):
+		v.startProcess()
+	case <-time.After(hangupTimeout):
 	}
 }
 
-// soak plays one seed: faults under callers, then calm, in which everything must serve
-// again, and a drained endpoint must get nothing.
-func soak(t *testing.T, seed uint64, length time.Duration) {
+// runSoak runs one seed. It injects faults under traffic, then checks that all VMs serve
+// again without faults, that a drained endpoint gets no requests, and all records.
+func runSoak(t *testing.T, seed uint64, length time.Duration) {
 	store, address := platformtest.New(t)
-	w := &soakWorld{
+	w := &soakTestbed{
 		t: t, store: store, rng: rand.New(rand.NewPCG(seed, 1)), records: map[string]*record{},
-		keys: []string{"key-a", "key-b", "key-c"}, revoked: map[string]time.Time{}, arrived: map[string]int{}, troubled: true,
+		keys: []string{"key-a", "key-b", "key-c"}, revokedAt: map[string]time.Time{}, requestCounts: map[string]int{}, faultsActive: true,
 	}
 	w.configure(w.keys)
 	addresses := map[string]string{}
@@ -364,12 +370,12 @@
 		addresses[name] = e.Listener.Addr().String()
 		w.serverEntry(name, addresses[name], "ready")
 	}
-	var signals []*sync.Mutex
+	var signalLocks []*sync.Mutex
 	for i := range 3 {
 		p := newProxy(t, address)
 		w.proxies = append(w.proxies, p)
-		w.vms = append(w.vms, start(t, p.Addr().String(), fmt.Sprint("vm", i), fmt.Sprint("bounds.revocationMs=", soakRevocation.Milliseconds())))
-		signals = append(signals, &sync.Mutex{})
+		w.vms = append(w.vms, startVM(t, p.Addr().String(), fmt.Sprint("vm", i), fmt.Sprint("bounds.revocationMs=", soakRevocation.Milliseconds())))
+		signalLocks = append(signalLocks, &sync.Mutex{})
 	}
 	for _, v := range w.vms {
 		v.awaitReady(true)
@@ -384,24 +390,25 @@
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			for i := 0; ctx.Err() == nil; i++ {
 				w.call(context.Background(), client, fmt.Sprintf("c%d-%d", c, i))
-				time.Sleep(time.Duration(w.draw(20)) * time.Millisecond)
+				time.Sleep(time.Duration(w.randomInt(20)) * time.Millisecond)
 			}
 		}()
 	}
 	for ctx.Err() == nil {
-		w.fault(&faults, signals)
-		time.Sleep(time.Duration(100+w.draw(600)) * time.Millisecond)
+		w.injectFault(&faults, signalLocks)
+		time.Sleep(time.Duration(100+w.randomInt(600)) * time.Millisecond)
 	}
 	callers.Wait()
 	faults.Wait()
-	w.calm(addresses)
-	w.verdict(seed)
+	w.checkRecovery(addresses)
+	w.checkRecords(seed)
 }
 
-// calm ends all faults and demands full service of every VM.
-func (w *soakWorld) calm(addresses map[string]string) {
+// checkRecovery ends the endpoints' faults and waits until all requests succeed. Then it
+// drains an endpoint and waits until the endpoint gets no requests.
+func (w *soakTestbed) checkRecovery(addresses map[string]string) {
 	w.mu.Lock()
-	w.troubled = false
+	w.faultsActive = false
 	w.mu.Unlock()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	n := 0
@@ -413,44 +420,46 @@
 			}
 		}
 		return true
-	}, 40*time.Second, 50*time.Millisecond, "not all is served once the faults are over")
+	}, 40*time.Second, 50*time.Millisecond, "not all requests are served after the faults have ended")
 	w.serverEntry("e0", addresses["e0"], "draining")
 	require.Eventually(w.t, func() bool {
-		before := w.arrivals("e0")
+		before := w.requestCount("e0")
 		for range 30 {
 			n++
 			w.call(w.t.Context(), client, fmt.Sprint("drained-", n))
 		}
-		return w.arrivals("e0") == before
+		return w.requestCount("e0") == before
 	}, 20*time.Second, 50*time.Millisecond, "a drained endpoint still gets requests")
 }
 
-func (w *soakWorld) arrivals(endpoint string) int {
+func (w *soakTestbed) requestCount(endpoint string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.arrived[endpoint]
+	return w.requestCounts[endpoint]
 }
 
-// verdict judges the promises by what callers and endpoints saw.
-func (w *soakWorld) verdict(seed uint64) {
+// checkRecords checks the records of callers and endpoints: a non-repeatable request runs
+// at most once and not at all if it was refused, and no request runs with a key that was
+// revoked longer than soakRevocation before.
+func (w *soakTestbed) checkRecords(seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	served := 0
 	for id, r := range w.records {
-		promise := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
-		at, gone := w.revoked[r.key]
+		refused := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
+		revokedAt, revoked := w.revokedAt[r.key]
 		switch {
-		case r.once && r.runs > 1:
-			w.wrong = append(w.wrong, fmt.Sprintf("%s ran %d times", id, r.runs))
-		case r.once && promise && r.runs > 0:
-			w.wrong = append(w.wrong, fmt.Sprintf("%s was answered %d and ran", id, r.status))
-		case gone && r.runs > 0 && r.sent.After(at.Add(soakRevocation)):
-			w.wrong = append(w.wrong, fmt.Sprintf("%s ran with a key that was taken away %s before", id, r.sent.Sub(at)))
+		case r.nonRepeatable && r.runs > 1:
+			w.violations = append(w.violations, fmt.Sprintf("%s ran %d times", id, r.runs))
+		case r.nonRepeatable && refused && r.runs > 0:
+			w.violations = append(w.violations, fmt.Sprintf("%s was answered %d and ran", id, r.status))
+		case revoked && r.runs > 0 && r.sent.After(revokedAt.Add(soakRevocation)):
+			w.violations = append(w.violations, fmt.Sprintf("%s ran with a key that was revoked %s before", id, r.sent.Sub(revokedAt)))
 		}
 		if r.status == http.StatusOK {
 			served++
 		}
 	}
-	w.t.Logf("seed %d: %d requests, %d served, %d keys taken away", seed, len(w.records), served, len(w.revoked))
-	require.Empty(w.t, w.wrong, "seed %d", seed)
+	w.t.Logf("seed %d: %d requests, %d served, %d keys revoked", seed, len(w.records), served, len(w.revokedAt))
+	require.Empty(w.t, w.violations, "seed %d", seed)
 }
