--- a/cmd/goldcrest-node/process_test.go
+++ b/cmd/goldcrest-node/process_test.go
@@ -160,8 +160,8 @@
 	v.done <- v.cmd.Wait()
 }
 
-// awaitLog waits for a log line that contains all of the words and returns it.
-func (v *vm) awaitLog(words ...string) string {
+// awaitLog waits for a log line that contains all of the texts and returns it.
+func (v *vm) awaitLog(texts ...string) string {
 	v.t.Helper()
 	var found string
 	require.Eventually(v.t, func() bool {
@@ -169,7 +169,7 @@
 		defer v.mu.Unlock()
 		for _, l := range v.lines {
 			all := true
-			for _, w := range words {
+			for _, w := range texts {
 				all = all && strings.Contains(l, w)
 			}
 			if all {
@@ -178,7 +178,7 @@
 			}
 		}
 		return false
-	}, 20*time.Second, 5*time.Millisecond, "no line with %q", words)
+	}, 20*time.Second, 5*time.Millisecond, "no line with %q", texts)
 	return found
 }
 
--- a/cmd/processtest/measure_test.go
+++ b/cmd/processtest/measure_test.go
@@ -121,7 +121,7 @@
 	defer cancel()
 	w.setOutage(true)
 	refusedOrders, n := 0, 0
-	first := func(vm *process) bool {
+	runsOrder := func(vm *process) bool {
 		n++
 		o, err := sendOrder(ctx, vm, fmt.Sprint("measure-", n), http.Header{"X-Attempt": {"1"}})
 		require.NoError(t, err)
@@ -131,14 +131,14 @@
 		return o.status == http.StatusOK
 	}
 	for start := time.Now(); time.Since(start) < 10*time.Second; time.Sleep(100 * time.Millisecond) {
-		require.False(t, first(w.vms[n%len(w.vms)]))
+		require.False(t, runsOrder(w.vms[n%len(w.vms)]))
 	}
 	t.Logf("platform away for 10 s: %d orders refused as not run, none run", refusedOrders)
 	w.setOutage(false)
 	start := time.Now()
 	var all []time.Duration
 	for _, vm := range w.vms {
-		measureUntil(t, start, func() bool { return first(vm) })
+		measureUntil(t, start, func() bool { return runsOrder(vm) })
 		all = append(all, time.Since(start))
 	}
 	logDurations(t, "platform back to an order run at each VM", all)
@@ -147,14 +147,14 @@
 // measureKill measures the time from kill -9 of a VM until the VMs that listed it in
 // their address answers no longer do so.
 func (w *testbed) measureKill(t testing.TB) {
-	names := func(vm, named *process) bool {
+	listsAddress := func(vm, named *process) bool {
 		return strings.Contains(strings.Join(w.addresses(vm), " "), named.serving["callers"])
 	}
-	i := slices.IndexFunc(w.vms, func(vm *process) bool { return vm != w.vms[0] && names(w.vms[0], vm) })
+	i := slices.IndexFunc(w.vms, func(vm *process) bool { return vm != w.vms[0] && listsAddress(w.vms[0], vm) })
 	killed := w.vms[i]
 	var naming []*process
 	for _, vm := range w.vms {
-		if vm != killed && names(vm, killed) {
+		if vm != killed && listsAddress(vm, killed) {
 			naming = append(naming, vm)
 		}
 	}
@@ -162,7 +162,7 @@
 	start := time.Now()
 	var all []time.Duration
 	for _, vm := range naming {
-		measureUntil(t, start, func() bool { return !names(vm, killed) })
+		measureUntil(t, start, func() bool { return !listsAddress(vm, killed) })
 		all = append(all, time.Since(start))
 	}
 	logDurations(t, "VM killed to no longer named, at each VM that named it", all)
--- a/cmd/processtest/outage_test.go
+++ b/cmd/processtest/outage_test.go
@@ -20,12 +20,12 @@
 
 // startTraffic starts callers that send requests to the VMs until stop is called. The
 // test fails if an answer is incomplete.
-func (w *testbed) startTraffic(ctx context.Context, callers int) (asked []*caller, stop func()) {
+func (w *testbed) startTraffic(ctx context.Context, callers int) (clients []*caller, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	for i := range callers {
 		c := &caller{vms: w.vms, current: i % len(w.vms)}
-		asked = append(asked, c)
+		clients = append(clients, c)
 		work.Go(func() {
 			for ctx.Err() == nil {
 				// stop waits for the requests in progress and doesn't cancel them.
@@ -35,7 +35,7 @@
 			}
 		})
 	}
-	return asked, func() {
+	return clients, func() {
 		cancel()
 		work.Wait()
 	}
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, o.status)
 	seeds := []string{peerAddress(t, w.vms[0]), peerAddress(t, w.vms[1])}
-	asked, stop := w.startTraffic(ctx, 6)
+	clients, stop := w.startTraffic(ctx, 6)
 	w.setOutage(true)
 	for _, row := range []struct {
 		key    string
@@ -76,8 +76,8 @@
 	waitUntil(t, "the replaced VM is ready", func() bool { return ready(replaced) })
 	c := &caller{vms: []*process{replaced}}
 	require.True(t, c.streamAnswer(ctx, version, prompt, 5).complete)
-	before := totalTokens(asked)
-	waitUntil(t, "repeatable work continues", func() bool { return totalTokens(asked) > before+100 })
+	before := totalTokens(clients)
+	waitUntil(t, "repeatable work continues", func() bool { return totalTokens(clients) > before+100 })
 	require.False(t, ready(alone), "a VM without peers has no configuration")
 	w.setOutage(false)
 	stop()
@@ -104,16 +104,16 @@
 	w := newTestbed(t, 3, 2)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	asked, stop := w.startTraffic(ctx, 18)
+	clients, stop := w.startTraffic(ctx, 18)
 	// The retry budget of an account with little traffic on a VM covers only two requests.
 	// The test needs a budget that covers the failure of an endpoint in steady traffic.
-	waitUntil(t, "traffic for the retry budget", func() bool { return totalTokens(asked) > 6000 })
+	waitUntil(t, "traffic for the retry budget", func() bool { return totalTokens(clients) > 6000 })
 	address := w.engines[0].serving["address"]
 	w.engines[0].kill()
 	w.engines[0] = startProcess(t, "engine-0", "standin", "--listen", address, "engine", "--cold", version, otherVersion)
 	waitUntil(t, "cold work", func() bool { return engineStats(t, w.engines[0]).MaxCold > 0 })
-	before := totalTokens(asked)
-	waitUntil(t, "traffic during the cold start", func() bool { return totalTokens(asked) > before+1000 })
+	before := totalTokens(clients)
+	waitUntil(t, "traffic during the cold start", func() bool { return totalTokens(clients) > before+1000 })
 	require.LessOrEqual(t, engineStats(t, w.engines[0]).MaxCold, coldLimit)
 	require.NoError(t, call(http.MethodPost, address, "/warm", nil, nil))
 	warm := engineStats(t, w.engines[0]).Started
