--- a/config/action.go
+++ b/config/action.go
@@ -28,7 +28,7 @@
 	ActionRollBack Action = "roll-back"
 )
 
-// OperatorReason is the prefix of a roll-out's reason if an operator set the state. The
+// OperatorReasonPrefix is the prefix of a roll-out's reason if an operator set the state. The
 // controller doesn't change such a state.
 const OperatorReasonPrefix = "operator: "
 
--- a/config/contacts.go
+++ b/config/contacts.go
@@ -68,8 +68,8 @@
 	return true
 }
 
-// recentReports returns the reports that are younger than staleness.MaxConfirmationAge and removes the
-// others.
+// recentReports returns the reports that are no older than staleness.MaxConfirmationAge and
+// removes the others.
 func (q *poller) recentReports(now time.Time) []staleness.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/config/editor.go
+++ b/config/editor.go
@@ -59,7 +59,7 @@
 	// Kind and Name identify the object of the other operations.
 	Kind Kind
 	Name string
-	// OpLabel sets Labels and removes the keys in RemoveLabels.
+	// Labels are the labels that OpLabel sets, RemoveLabels the keys that it removes.
 	Labels       map[string]string
 	RemoveLabels []string
 	// Edit modifies a copy of the object for OpEdit. It may be called several times.
--- a/config/encode.go
+++ b/config/encode.go
@@ -18,7 +18,7 @@
 
 // historyLength is the number of accepted changes that the root holds by id. At the 2,200
 // changes a day that the users expect, it covers about 2.8 hours. A later repeat or read-back
-// is answered "unknown".
+// is answered "unknown", since the root no longer shows whether the change was accepted.
 const historyLength = 256
 
 // maxDecompressed bounds the size of a decoded root, in bytes, against a damaged or hostile
--- a/config/run.go
+++ b/config/run.go
@@ -39,7 +39,7 @@
 	// fetchTimeout bounds one fetch from a VM: a root of 100 KB takes milliseconds within a
 	// region and a few hundred from another region.
 	fetchTimeout = time.Second
-	// directReadAge is the age of the last confirmation from any VM from which a follower reads
+	// directReadAge is the age of the last confirmation, by any VM, above which a follower reads
 	// the platform itself. It is above the age in a healthy watcher's answer (two rotations of
 	// at most 3.6 s, and askPeriod) and below staleness.MaxConfirmationAge by two attempts.
 	directReadAge = 10 * time.Second
--- a/config/staleness/staleness.go
+++ b/config/staleness/staleness.go
@@ -7,11 +7,11 @@
 // version that was withdrawn meanwhile. A VM that stopped on every outage of the platform would
 // turn that outage into one of the whole fleet.
 //
-// Data centres tell the two cases apart. A VM goes on without a recent confirmation only while
-// VMs of a majority of the data centres report that their calls to the platform fail too. A VM
-// accepts a change only while VMs of a majority of the data centres answer it. Two majorities
-// share a data centre, whose VMs notify each other of the new revision, so a VM that goes on
-// learns of each change that is accepted.
+// The reports of other data centres distinguish the two cases. A VM goes on without a recent
+// confirmation only while VMs of a majority of the data centres report that their calls to the
+// platform fail too. A VM accepts a change only while VMs of a majority of the data centres
+// answer it. Two majorities share a data centre, whose VMs notify each other of the new
+// revision, so a VM that goes on learns of each change that is accepted.
 package staleness
 
 import (
@@ -21,12 +21,13 @@
 )
 
 const (
-	// MaxConfirmationAge is the age of the last confirmation from which a VM takes no new work. A change must
-	// be in force within 16 s; MaxConfirmationAge leaves 2 s to decide and to refuse requests. It is above
+	// MaxConfirmationAge is the age of the last confirmation above which a VM takes no new work,
+	// unless the platform fails for a majority of the data centres. A change must be in force
+	// within 16 s; MaxConfirmationAge leaves 2 s to decide and to refuse requests. It is above
 	// the age that a healthy VM sees: two rotations of a watch (2 x 3.6 s at most) and the pause
 	// between requests for evidence (2.25 s at most).
 	MaxConfirmationAge = 14 * time.Second
-	// MaxReportAge is the age from which a VM's report no longer counts. It covers two requests
+	// MaxReportAge is the age above which a VM's report no longer counts. It covers two requests
 	// for evidence, so that one lost answer changes nothing.
 	MaxReportAge = 5 * time.Second
 	// Never is the ConfirmedAge of a VM that has no confirmation.
--- a/config/staleness/staleness_test.go
+++ b/config/staleness/staleness_test.go
@@ -66,7 +66,7 @@
 // A VM was suspended for a minute and then reads old answers from its buffers, which report
 // recent confirmations or an outage of the platform. They answer requests from a minute ago, so
 // neither may count.
-func TestReportsCountFromTheQuestion(t *testing.T) {
+func TestReportAgeCountsFromRequest(t *testing.T) {
 	old := func(vm, dataCentre string, e Evidence) Report {
 		r := report(vm, dataCentre, e)
 		r.AskedAt = now.Add(-time.Minute)
--- a/control/gather/gather.go
+++ b/control/gather/gather.go
@@ -62,7 +62,7 @@
 	totals     map[string]*rollout.Totals
 }
 
-// NewAggregator returns an empty Site.
+// NewAggregator returns an Aggregator without reports.
 func NewAggregator(dataCentre string) *Aggregator {
 	return &Aggregator{dataCentre: dataCentre, reportedAt: make(map[string]time.Time), totals: make(map[string]*rollout.Totals)}
 }
--- a/control/orders/controller.go
+++ b/control/orders/controller.go
@@ -50,11 +50,13 @@
 // Holder reports whether this VM should run the loop, and until when; lease.Lease
 // implements it.
 type Holder interface {
+	// Held reports whether this VM holds the lease, and until when by its own clock.
 	Held() (until time.Time, ok bool)
 }
 
-// Source returns the configuration in force; control.Configuration implements it.
+// Source provides the configuration; control.Configuration implements it.
 type Source interface {
+	// Snapshot returns the configuration in force; callers must not modify it.
 	Snapshot() *config.Snapshot
 }
 
--- a/control/rollouts/controller.go
+++ b/control/rollouts/controller.go
@@ -18,20 +18,21 @@
 	"goldcrestfork/policy/rollout"
 )
 
-// Interval is the time between rounds. At the specified size, a new version with 5% of
-// a model's traffic gets 31 requests per second, so that the 200 requests allowed to a
-// bad version take six rounds.
+// Interval is the time between rounds. At the traffic that the project is designed for, a
+// new version with 5% of a model's traffic gets 31 requests per second, so that the 200
+// requests allowed to a bad version take six rounds.
 const Interval = time.Second
 
 // Holder reports whether this VM should run the loop, and until when; lease.Lease
 // implements it.
 type Holder interface {
+	// Held reports whether this VM holds the lease, and until when by its own clock.
 	Held() (until time.Time, ok bool)
 }
 
-// CountsSource returns the VMs' request counts by source, and whether those of all VMs
-// are included.
+// CountsSource provides the VMs' request counts.
 type CountsSource interface {
+	// Counts returns the counts by source, and whether those of all VMs are included.
 	Counts(ctx context.Context) (counts []rollout.Counts, complete bool)
 }
 
--- a/control/rollouts/controller_test.go
+++ b/control/rollouts/controller_test.go
@@ -139,9 +139,9 @@
 }
 
 // The new version turns bad during a store outage of ten minutes, in which no VM can
-// hold the lease or write. With brakes, new sessions must avoid the version after at
-// most 200 requests. With or without them, it must be rolled back as soon as the lease
-// can be taken again.
+// hold the lease or write. With brakes, requests without a session must avoid the version
+// after at most 200 of its requests. With or without brakes, it must be rolled back as
+// soon as the lease can be taken again.
 func TestStoreOutage(t *testing.T) {
 	for _, braking := range []bool{true, false} {
 		t.Run(fmt.Sprint("brakes=", braking), func(t *testing.T) {
--- a/router/dispatch/endpoint.go
+++ b/router/dispatch/endpoint.go
@@ -59,7 +59,7 @@
 const otherPoolWindow = 5 * time.Second
 
 // applyDetection applies a detector's decision to the picker's table, unless the
-// endpoint recently served another pool. Callers hold d.mu.
+// decision is an ejection and servesOtherPool returns true. Callers hold d.mu.
 func (d *Dispatcher) applyDetection(now time.Time, ps *poolState, c outlier.Change) {
 	if c.State == outlier.Ejected && d.servesOtherPool(now, ps.name, c.Endpoint) {
 		d.metrics.ejections.WithLabelValues("cleared").Inc()
@@ -75,10 +75,10 @@
 	})
 }
 
-// servesOtherPool reports whether an endpoint that fails in one pool recently answered
-// in another one. A version that turns bad fails on every endpoint that has it loaded;
-// ejecting these would also remove a third of the good version's endpoints. The bad
-// version's own circuit breaker and its roll-out handle that version instead.
+// servesOtherPool reports whether an endpoint that fails in one pool recently gave a
+// successful answer in another one. A version that turns bad fails on every endpoint that
+// has it loaded; ejecting these would also remove a third of the good version's endpoints.
+// The bad version's own circuit breaker and its roll-out handle that version instead.
 func (d *Dispatcher) servesOtherPool(now time.Time, pool, endpoint string) bool {
 	e := d.endpoints[endpoint]
 	if e == nil {
--- a/router/engine/client.go
+++ b/router/engine/client.go
@@ -34,7 +34,7 @@
 	// takes some 200 bytes; most of net/http's 4 KB would be unused in each open stream.
 	connBufferBytes = 1 << 10
 	// idlePerHost is the number of idle connections kept per endpoint; an endpoint runs
-	// a few dozen requests at once.
+	// a few dozen concurrent requests.
 	idlePerHost = 64
 	// StallTimeout ends an attempt whose next token does not arrive. At p95 the targets
 	// are 1.1 s to the first token and 42 ms between tokens; ten times the former
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -235,11 +235,11 @@
 
 // requestEnd is how a request ended over all its attempts.
 type requestEnd struct {
-	// refusal is nil when the answer is whole.
+	// refusal is nil if the answer is complete.
 	refusal *refusal.Refusal
 	// stream holds what was passed on to the caller.
 	stream *engine.Stream
-	// ran is what is known of the run at any endpoint.
+	// ran is what is known, over all attempts, about whether an endpoint ran the request.
 	ran refusal.Ran
 	// version is the version of the last attempt.
 	version string
--- a/router/entry/entry.go
+++ b/router/entry/entry.go
@@ -57,6 +57,8 @@
 // Addresses returns the VMs that an account should use, best first, and how long to keep
 // the answer.
 type Addresses interface {
+	// Addresses returns the addresses for a caller in a data centre, and how long the caller
+	// may keep them.
 	Addresses(account, dataCentre string) ([]Address, time.Duration)
 }
 
--- a/router/operator/client/client.go
+++ b/router/operator/client/client.go
@@ -32,7 +32,7 @@
 
 // Errors of a Client other than *operator.Problem.
 var (
-	// ErrUnreachable reports that no VM answered. A change was not applied.
+	// ErrUnreachable reports that no VM answered. A change was certainly not applied.
 	ErrUnreachable = errors.New("no VM answered")
 	// ErrUnknown reports that the outcome of a change is unknown. The error's text says
 	// how to settle it.
--- a/router/operator/handler.go
+++ b/router/operator/handler.go
@@ -42,19 +42,26 @@
 
 // Configuration provides the configuration in force on this VM.
 type Configuration interface {
+	// Snapshot returns the configuration in force; callers must not modify it.
 	Snapshot() *config.Snapshot
+	// WaitRevision waits until the configuration is at revision or above and returns it. It
+	// returns the context's error if ctx ends first.
 	WaitRevision(ctx context.Context, revision int64) (*config.Snapshot, error)
 }
 
 // Editor applies changes to the configuration.
 type Editor interface {
+	// ApplyOnce applies the changes as one change with this id, unless a change with the id
+	// was accepted after revision since; see config.Editor.ApplyOnce for the results.
 	ApplyOnce(ctx context.Context, id string, since int64, changes []config.Change) (int64, *config.Snapshot, error)
+	// Restore writes this VM's configuration in force back to a platform that holds an older
+	// one; see config.Editor.Restore.
 	Restore(ctx context.Context, id string) (int64, *config.Snapshot, error)
 }
 
 // Fleet provides the VMs and the revision in force on each.
 type Fleet interface {
-	// VMs returns the names of all VMs, including those that are down.
+	// VMs returns the names of all VMs that have not left, including those that are down.
 	VMs() []string
 	// Revisions returns the revision of each live VM, this one included.
 	Revisions() map[string]int64
@@ -67,12 +74,13 @@
 	Requests     int64  `json:"requests"`
 	InputTokens  int64  `json:"inputTokens"`
 	OutputTokens int64  `json:"outputTokens"`
-	// Micros is the cost in millionths of the account's currency.
+	// Micros is the cost in micro-units.
 	Micros int64 `json:"micros"`
 }
 
-// Bills reads the bills of a day (UTC). An empty account selects all accounts.
+// Bills reads bills.
 type Bills interface {
+	// Bills returns the bills of a day (UTC). An empty account selects all accounts.
 	Bills(ctx context.Context, account string, day time.Time) ([]Bill, error)
 }
 
--- a/router/vm/promises_test.go
+++ b/router/vm/promises_test.go
@@ -280,7 +280,7 @@
 	return bakerKey
 }
 
-// An engine in cold start accepts two requests at once while three VMs have work for it.
+// An engine in cold start accepts two concurrent requests while three VMs have work for it.
 // The VMs together must never exceed that limit, and every caller must get its answer:
 // each cold slot belongs to one VM at a time, and a VM without one borrows it.
 func TestColdSlotsAreExactOverThreeVMs(t *testing.T) {
--- a/router/vm/register.go
+++ b/router/vm/register.go
@@ -10,8 +10,8 @@
 	"goldcrestfork/durable/httpstore"
 )
 
-// registerInterval is the interval at which the entry is renewed, so that a stand-in
-// that restarted without its list has the VM again after at most this time.
+// registerInterval is the interval at which the VM's entry is renewed. A stand-in that
+// restarted and lost its list gets the entry again after at most this time.
 const registerInterval = 5 * time.Second
 
 // register adds this VM to the VM list of the platform's stand-in if the settings ask
--- a/router/vm/vm_test.go
+++ b/router/vm/vm_test.go
@@ -152,8 +152,8 @@
 
 // Both engines restart while the VM takes them for warm, and many requests arrive at once.
 // Neither engine may run more requests than its one cold slot allows, and every caller must
-// get its answer: a restart breaks the old connections, and the VM polls the engine's state
-// on a new one before it sends a request.
+// get its answer: a restart breaks the old connections, and the VM queries the engine's
+// state on a new one before it sends a request.
 func TestColdStartWithoutWarning(t *testing.T) {
 	w := newTestbed(t, 2)
 	for range 4 {
@@ -274,7 +274,7 @@
 	require.Equal(t, http.StatusOK, r.status, r.body)
 }
 
-// One of two service instances hangs. Repeatable look-ups of an immediate class must all be
+// One of two service instances hangs. Repeatable look-ups of class immediate must all be
 // answered by the other instance through hedging; a refund must not be repeated because it
 // is slow.
 func TestSlowLookupIsHedged(t *testing.T) {
