--- a/router/settings/settings.go
+++ b/router/settings/settings.go
@@ -47,8 +47,8 @@
 	Prefer string `json:"prefer,omitempty"`
 	// KeepAddresses is how long callers keep an address answer. The default is "10s".
 	KeepAddresses Duration `json:"keepAddresses,omitempty"`
-	// SpreadLeaving is how long other VMs may still name this VM to callers after a planned
-	// stop began. The default is "15s".
+	// SpreadLeaving is how long, from its beginning, a planned stop assumes that some other
+	// VMs don't know of it yet and still name this VM to callers. The default is "15s".
 	SpreadLeaving Duration `json:"spreadLeaving,omitempty"`
 	// StopGrace is how long a planned stop waits for running streams once the address
 	// answers that name this VM have expired. Streams that still run then are cut. The
