--- a/cmd/goldcrest-node/main.go
+++ b/cmd/goldcrest-node/main.go
@@ -124,7 +124,7 @@
 		Names:         platform.Names(),
 		ReadyPath:     platform.PathReady,
 		DirectoryPath: platform.PathResolve,
-		DataCentreOf:  func(r *http.Request) string { return platform.ReadQuestion(r).DataCentre },
+		DataCentreOf:  func(r *http.Request) string { return platform.ReadDirectoryQuery(r).DataCentre },
 		WriteAddresses: func(w http.ResponseWriter, addresses []string, ttl time.Duration) {
 			w.Header().Set("Content-Type", "application/json")
 			// Encoding fails if the caller has disconnected, which needs no handling.
--- a/cmd/goldcrest-node/process_test.go
+++ b/cmd/goldcrest-node/process_test.go
@@ -123,7 +123,7 @@
 // startProcess starts the process, for the first time or after it has ended.
 func (v *vm) startProcess() {
 	v.cmd = exec.Command(binary, "--metrics-port", fmt.Sprint(v.metrics))
-	v.cmd.Env = append(os.Environ(), platform.SettingsVar+"="+v.settings)
+	v.cmd.Env = append(os.Environ(), platform.SettingsPathEnv+"="+v.settings)
 	out, err := v.cmd.StdoutPipe()
 	require.NoError(v.t, err)
 	v.cmd.Stderr = os.Stderr
--- a/cmd/goldcrest/app.go
+++ b/cmd/goldcrest/app.go
@@ -122,7 +122,7 @@
 		fmt.Fprintln(a.err, "goldcrest:", err)
 		return
 	}
-	if errors.Is(err, client.ErrUnknown) {
+	if errors.Is(err, client.ErrOutcomeUnknown) {
 		fmt.Fprintln(a.err, "goldcrest:", err)
 		return
 	}
@@ -140,7 +140,7 @@
 	var problems config.Problems
 	var p *operator.Problem
 	switch {
-	case errors.Is(err, client.ErrUnknown):
+	case errors.Is(err, client.ErrOutcomeUnknown):
 		return exitUnknown
 	case errors.As(err, &problems):
 		return exitRefused
@@ -156,7 +156,7 @@
 
 func problemExitCode(p *operator.Problem) int {
 	switch p.Code {
-	case operator.CodeInvalid, operator.CodeBadRequest, operator.CodeTooLarge:
+	case operator.CodeInvalid, operator.CodeBadRequest, operator.CodeBodyTooLarge:
 		return exitRefused
 	case operator.CodeConflict:
 		return exitConflict
--- a/cmd/processtest/outage_test.go
+++ b/cmd/processtest/outage_test.go
@@ -16,7 +16,7 @@
 )
 
 // setOutage starts or ends an outage of the platform.
-func (w *testbed) setOutage(down bool) { w.setFaults(w.platform, store.FaultOrder{Down: down}) }
+func (w *testbed) setOutage(down bool) { w.setFaults(w.platform, store.FaultRequest{Down: down}) }
 
 // startTraffic starts callers that send requests to the VMs until stop is called. The
 // test fails if an answer is incomplete.
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -40,7 +40,7 @@
 	default:
 		e := backend.NewEngine(cli.Engine.Versions...)
 		// The start time distinguishes this process from an earlier one at the same address.
-		e.Begin(int(time.Now().UnixNano()), cli.Engine.Cold)
+		e.SetIncarnation(int(time.Now().UnixNano()), cli.Engine.Cold)
 		e.SetFaults(backend.EngineFaults{TokenDelay: cli.Engine.TokenDelay})
 		h = e.Handler()
 	}
--- a/control/orders/controller_test.go
+++ b/control/orders/controller_test.go
@@ -102,7 +102,7 @@
 func runLateOrder(t *testing.T, fenced, takeover bool) {
 	s, e := store.New(), order.New(fenced)
 	v := newVM(s, engines{"e": e}, snapshot(1, fenced, "v1"))
-	e.SetFaults(order.Faults{Late: 50 * time.Second})
+	e.SetFaults(order.Faults{Delay: 50 * time.Second})
 	for !hasProblem(v) {
 		run(t, Interval, v)
 	}
--- a/gateway/node/announce_test.go
+++ b/gateway/node/announce_test.go
@@ -49,7 +49,7 @@
 
 // Guards against two VMs that start together and don't learn of each other, also if lists may
 // be old.
-func TestVMsThatStartTogetherMeet(t *testing.T) {
+func TestVMsThatStartTogetherFindEachOther(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool
 		entry bool // the VM's own entry exists already
--- a/gateway/node/pins_test.go
+++ b/gateway/node/pins_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against forgetting a session that was served before its roll-out's order was known.
-func TestSessionServedBeforeWordOfItsOrderKeepsItsVersion(t *testing.T) {
+func TestSessionServedBeforeItsOrderIsKnownKeepsItsVersion(t *testing.T) {
 	c := newClocked()
 	c.endpoint("e1", "v1", 1)
 	c.receive("v2", 2, catalog.RollOutRunning)
--- a/gateway/view/feed_test.go
+++ b/gateway/view/feed_test.go
@@ -247,7 +247,7 @@
 
 // Guards against state from another VM that counts as new: its age there, three seconds, and
 // the time of the answer must be added.
-func TestProofFromAnotherVMIsAsOldAsItSays(t *testing.T) {
+func TestPeerConfirmationKeepsItsAge(t *testing.T) {
 	clock := sinceStart()
 	feed := NewFeed(clock, time.Minute)
 	feed.apply(feedUpdate{all: true, revision: 5, confirmedAt: clock() - 3*time.Second, contactAt: clock()})
--- a/gateway/view/fleet_test.go
+++ b/gateway/view/fleet_test.go
@@ -269,7 +269,7 @@
 // Guards against all VMs calling the store when it refuses, by errors, the two that watch it and
 // serves the others. Two backup watchers call it instead, the others read from these, and a
 // change is in force on them within the bound.
-func TestWatchersTurnedAway(t *testing.T) {
+func TestRefusedWatchersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 60)
 		f.set(func() { f.refused = func(vm int) bool { return vm < 2 } })
@@ -307,7 +307,7 @@
 
 // Guards against a restarted VM that waits for a store that refuses it: it serves nobody until
 // it knows the kinds, and must read them from other VMs.
-func TestRestartedVMThatIsTurnedAway(t *testing.T) {
+func TestRestartedVMRefusedByPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 12)
 		var names []watching.VM
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -169,7 +169,7 @@
 
 // Guards against an age that stays low while the newest configuration can't be read: the VM
 // keeps the previous one, which is no longer the newest.
-func TestUnreadableConfigurationProvesNothing(t *testing.T) {
+func TestUnreadableConfigurationConfirmsNothing(t *testing.T) {
 	d := newTestView()
 	d.ApplyConfig(Update[*catalog.Config]{All: true, ConfirmedAt: d.now, Changes: []Change[*catalog.Config]{conf(5, 50)}})
 	d.now += 2 * time.Second
--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -198,7 +198,7 @@
 func TestOverRateIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
-		s.SetRates(1, 0)
+		s.SetRateLimits(1, 0)
 		a := testClaims(s, "a", nil)
 		ticket := mustBegin(t, a)
 		require.NoError(t, a.Finish(t.Context(), ticket, booked), "after a second's wait")
@@ -215,7 +215,7 @@
 		owner := testLedger(s, "b")
 		net := &network{peers: map[string]*Ledger{"b": owner}, owners: []string{"b"}}
 		a := NewClaims(New(s, link{net: net, self: "a"}, nil, Settings{VM: "a", Incarnation: 1}), nil)
-		s.SetRates(0.01, 0)
+		s.SetRateLimits(0.01, 0)
 		requireDecided(t, owner, keysOfShard(refund.digest().Shard(), 1), 24)
 		_, err := a.Begin(t.Context(), refund, refundBody)
 		require.ErrorIs(t, err, ErrUnavailable)
--- a/ledger/ledgerbench/main.go
+++ b/ledger/ledgerbench/main.go
@@ -65,7 +65,7 @@
 func newFleet(vms int, m mode, delay time.Duration, writeLimit float64) *fleet {
 	f := &fleet{store: store.New(), ledgers: map[string]*ledger.Ledger{}, registry: prometheus.NewRegistry()}
 	f.store.SetFaults(store.Faults{Delay: delay})
-	f.store.SetRates(writeLimit, 0)
+	f.store.SetRateLimits(writeLimit, 0)
 	for i := range vms {
 		name := "vm" + strconv.Itoa(i)
 		f.names = append(f.names, name)
--- a/router/operator/answer.go
+++ b/router/operator/answer.go
@@ -19,7 +19,7 @@
 	CodeNoSuchPath         Code = "no-such-path"
 	CodeNotFound           Code = "not-found"
 	CodeBadRequest         Code = "bad-request"
-	CodeTooLarge           Code = "body-too-large"
+	CodeBodyTooLarge       Code = "body-too-large"
 	CodeInvalid            Code = "invalid"
 	CodeConflict           Code = "conflict"
 	CodeStoreDown          Code = "store-unavailable"
--- a/router/operator/change.go
+++ b/router/operator/change.go
@@ -54,7 +54,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		h.refuse(w, Problem{Status: http.StatusRequestEntityTooLarge, Code: CodeTooLarge, Accepted: AcceptedNo, Detail: "at most 8 MB"})
+		h.refuse(w, Problem{Status: http.StatusRequestEntityTooLarge, Code: CodeBodyTooLarge, Accepted: AcceptedNo, Detail: "at most 8 MB"})
 		return nil, false
 	case err != nil:
 		h.badRequest(w, "the body could not be read")
--- a/router/operator/client/client.go
+++ b/router/operator/client/client.go
@@ -34,9 +34,9 @@
 var (
 	// ErrUnreachable reports that no VM answered. A change was certainly not applied.
 	ErrUnreachable = errors.New("no VM answered")
-	// ErrUnknown reports that the outcome of a change is unknown. The error's text says
+	// ErrOutcomeUnknown reports that the outcome of a change is unknown. The error's text says
 	// how to settle it.
-	ErrUnknown = errors.New("it is unknown whether the change was accepted")
+	ErrOutcomeUnknown = errors.New("it is unknown whether the change was accepted")
 )
 
 // Client calls the API of several VMs in the given order.
@@ -111,7 +111,7 @@
 		select {
 		case <-time.After(retryDelay):
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w; give --change-id %s --since %d with the same command to find out: %w", ErrUnknown, change.ID, change.Since, last)
+			return nil, fmt.Errorf("%w; give --change-id %s --since %d with the same command to find out: %w", ErrOutcomeUnknown, change.ID, change.Since, last)
 		}
 	}
 }
--- a/router/operator/client/client_test.go
+++ b/router/operator/client/client_test.go
@@ -69,7 +69,7 @@
 	counting := &http.Client{Transport: cancelAfter{2, new(int), cancel}}
 	c := client.Client{VMs: []string{url}, Key: "key", HTTP: counting}
 	_, err := c.Do(ctx, client.Change{Method: http.MethodPost, Path: "/v1/data-centre/norte-a/drain"})
-	require.ErrorIs(t, err, client.ErrUnknown)
+	require.ErrorIs(t, err, client.ErrOutcomeUnknown)
 	require.ErrorContains(t, err, "--change-id")
 }
 
--- a/standin/backend/engine.go
+++ b/standin/backend/engine.go
@@ -89,9 +89,9 @@
 	e.faults = f
 }
 
-// Begin sets the incarnation of the engine and whether it is in cold start. A process calls it
+// SetIncarnation sets the incarnation of the engine and whether it is in cold start. A process calls it
 // at its start.
-func (e *Engine) Begin(incarnation int, cold bool) {
+func (e *Engine) SetIncarnation(incarnation int, cold bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.incarnation, e.cold = incarnation, cold
@@ -125,8 +125,8 @@
 	return e.stats
 }
 
-// Runs returns how many times a request began on this engine.
-func (e *Engine) Runs(requestID string) int {
+// RunCount returns how many times a request began on this engine.
+func (e *Engine) RunCount(requestID string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[requestID]
--- a/standin/order/order.go
+++ b/standin/order/order.go
@@ -44,8 +44,8 @@
 type Faults struct {
 	// Down makes orders and reports fail with ErrDown.
 	Down bool
-	// Late is the time that an order is in flight; its sender's timeout may be shorter.
-	Late time.Duration
+	// Delay is the time that an order is in flight; its sender's timeout may be shorter.
+	Delay time.Duration
 	// LoseReplies is the number of further orders that take effect but fail with
 	// context.DeadlineExceeded, as if their reply were lost.
 	LoseReplies int
@@ -96,7 +96,7 @@
 	}
 	done := make(chan error, 1)
 	go func() {
-		time.Sleep(faults.Late)
+		time.Sleep(faults.Delay)
 		done <- e.apply(o)
 	}()
 	select {
--- a/standin/order/order_test.go
+++ b/standin/order/order_test.go
@@ -16,7 +16,7 @@
 	for _, fenced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			e := New(fenced)
-			e.SetFaults(Faults{Late: time.Minute})
+			e.SetFaults(Faults{Delay: time.Minute})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			require.Error(t, e.Order(ctx, Order{Fence: 1, Versions: []string{"v1"}}))
--- a/standin/platformd/main.go
+++ b/standin/platformd/main.go
@@ -27,7 +27,7 @@
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	s := store.New()
 	s.SetFaults(store.Faults{Delay: set.Delay})
-	s.SetRates(set.Writes, set.Reads)
+	s.SetRateLimits(set.Writes, set.Reads)
 	s.SetVMLag(set.VMLag)
 	listener, err := net.Listen("tcp", set.Listen)
 	if err != nil {
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -45,9 +45,9 @@
 	s.notifyWatches()
 }
 
-// SetRates limits the writes and reads a second; zero means no limit. The burst is the number
+// SetRateLimits limits the writes and reads a second; zero means no limit. The burst is the number
 // of calls in a tenth of a second, at least one.
-func (s *Store) SetRates(writes, reads float64) {
+func (s *Store) SetRateLimits(writes, reads float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = [2]*rate.Limiter{read: newLimiter(reads), write: newLimiter(writes)}
--- a/standin/store/handler.go
+++ b/standin/store/handler.go
@@ -15,8 +15,8 @@
 	"goldcrestfork/durable/httpstore"
 )
 
-// FaultOrder is the body of POST /faults; it replaces the faults in force.
-type FaultOrder struct {
+// FaultRequest is the body of POST /faults; it replaces the faults in force.
+type FaultRequest struct {
 	Down bool `json:"down"`
 	// Delay is the delay of each call, in the notation of time.ParseDuration ("3ms").
 	Delay        string `json:"delay"`
@@ -188,7 +188,7 @@
 }
 
 func (h *handler) faults(w http.ResponseWriter, r *http.Request) {
-	var order FaultOrder
+	var order FaultRequest
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -206,7 +206,7 @@
 func (h *handler) counts(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.store.Counts()) }
 
 // faults converts the request's body to Faults.
-func (o FaultOrder) faults() (Faults, error) {
+func (o FaultRequest) faults() (Faults, error) {
 	f := Faults{
 		Down:         o.Down,
 		LoseReplies:  o.LoseReplies,
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -110,7 +110,7 @@
 func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
-		s.SetRates(10, 20)
+		s.SetRateLimits(10, 20)
 		key := durable.Key{Kind: "k", Name: "n"}
 		o, err := s.Put(t.Context(), key, nil, 0)
 		require.NoError(t, err)
@@ -174,7 +174,7 @@
 	require.Equal(t, http.StatusBadRequest, do("PUT", "/objects/k/n", "x").Code)
 	require.Contains(t, do("GET", "/counts", "").Body.String(), `"Gets":1`)
 	s.SetFaults(store.Faults{})
-	s.SetRates(0, 0.001)
+	s.SetRateLimits(0, 0.001)
 	do("GET", "/objects/k/n", "")
 	over := do("GET", "/objects/k/n", "")
 	require.Equal(t, http.StatusTooManyRequests, over.Code)
