--- a/fleet/address/address.go
+++ b/fleet/address/address.go
@@ -45,9 +45,10 @@
 	DataCentre string
 	// Load is the VM's load in thousandths of its capacity.
 	Load uint16
-	// Leaving reports that the VM drains or that the platform removes it.
+	// Leaving reports whether the VM drains, has left, or is about to be removed by the
+	// platform.
 	Leaving bool
-	// Suspected reports that the VM is suspected to be down.
+	// Suspected reports whether the VM is suspected to be down.
 	Suspected bool
 }
 
@@ -64,8 +65,8 @@
 	Candidates []Candidate
 	// IsOut reports whether operators took a data centre out of service; nil means none.
 	IsOut func(dataCentre string) bool
-	// Distance returns the distance between two data centres; smaller is nearer. If it is
-	// nil, the distance is 0 within a data centre and 1 between two.
+	// Distance returns the distance from the caller's data centre to a VM's; smaller is
+	// nearer. If it is nil, the distance is 0 within a data centre and 1 between two.
 	Distance func(from, to string) int
 }
 
@@ -79,8 +80,8 @@
 
 // Choose ranks the VMs for a caller: the nearest data centres first, and VMs of the
 // same distance by rendezvous hashing weighted by free capacity. It never names VMs
-// that leave or whose data centre is out of service, and names suspected VMs after
-// all others.
+// that leave, whose data centre is out of service or whose address is unknown. It
+// names suspected VMs, at any distance, only after all others.
 func Choose(q Query, v View) Answer {
 	usable := slices.DeleteFunc(slices.Clone(v.Candidates), func(c Candidate) bool {
 		return c.Leaving || c.Address == "" || (v.IsOut != nil && v.IsOut(c.DataCentre))
--- a/fleet/gossip/doc.go
+++ b/fleet/gossip/doc.go
@@ -12,7 +12,7 @@
 //
 // This package has no indirect pings and no rotation over all rows as package member
 // has: each VM sends its own state, at a rate per receiver that falls as the fleet grows
-// (fanout).
+// (see fanout).
 //
 // Lock order: Table.mu is a leaf.
 package gossip
--- a/fleet/gossip/service.go
+++ b/fleet/gossip/service.go
@@ -16,14 +16,15 @@
 
 // Config configures a Service.
 type Config struct {
+	// Self is this VM; Listen opens the socket at Self.Peer.
 	Self Member
 	// Clock returns the time of a clock that continues while the VM is suspended.
 	Clock func() time.Duration
 	// Ready reports whether callers may be sent to this VM.
 	Ready func() bool
-	// Payload returns this VM's part of the fleet's sums, empty for none; HandlePayload is called with the
-	// payloads of other VMs.
-	Payload       func() []byte
+	// Payload returns this VM's part of the fleet's sums, empty for none.
+	Payload func() []byte
+	// HandlePayload is called with the payloads of other VMs.
 	HandlePayload func(from string, incarnation uint64, payload []byte)
 	Log           zerolog.Logger
 	// Registerer registers the metrics and Traffic counts the packets; both are required.
@@ -60,8 +61,8 @@
 
 // Channel opens a channel of the socket for another purpose; see datagram.Socket.Channel. It must
 // be called before Run.
-func (s *Service) Channel(tag byte, purpose string, take func(b []byte, from string)) datagram.Channel {
-	return s.socket.Channel(tag, purpose, take)
+func (s *Service) Channel(tag byte, purpose string, handle func(b []byte, from string)) datagram.Channel {
+	return s.socket.Channel(tag, purpose, handle)
 }
 
 // Table returns the state of the other VMs.
@@ -112,7 +113,7 @@
 	b, err := cbor.Marshal(&m)
 	if err != nil || len(b) > datagram.MaxPacketSize {
 		// The datagram must be sent even if the payload is too large, or the other VMs would
-		// take this one for dead.
+		// consider this one dead.
 		s.cfg.Log.Warn().Err(err).Int("bytes", len(b)).Msg("datagram without its payload")
 		m.Payload = nil
 		if b, err = cbor.Marshal(&m); err != nil {
--- a/fleet/gossip/table.go
+++ b/fleet/gossip/table.go
@@ -29,9 +29,9 @@
 	// remoteFanout bounds the datagrams of a round to other data centres, since that traffic is
 	// billed. The receivers forward the reports within their data centre.
 	remoteFanout = 4
-	// remoteReports is the mean number of reports on each VM of a data centre that every other
-	// data centre is sent in a round. It exceeds one because one datagram in a hundred is lost
-	// and the reports are drawn at random.
+	// remoteReports is the mean number of reports on each VM of a data centre that are sent to
+	// every other data centre in a round. It exceeds one because one datagram in a hundred is
+	// lost and the reports are drawn at random.
 	remoteReports = 3
 	// maxNamed bounds the members whose addresses a datagram contains, 60 bytes each;
 	// maxNamedLarge is the bound in a fleet with more peers than fanout.
@@ -59,7 +59,7 @@
 // Message is the content of a datagram.
 type Message struct {
 	From Member `cbor:"1,keyasint"`
-	// Incarnation is a random number that identifies the incarnation, one run of the VM's process.
+	// Incarnation is a random number that identifies one run of the sender's process.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Sequence orders the messages of one incarnation.
 	Sequence uint64 `cbor:"3,keyasint"`
@@ -69,7 +69,8 @@
 	Payload []byte `cbor:"5,keyasint,omitempty"`
 	// Others are some of the members that the sender knows to be alive.
 	Others []Member `cbor:"6,keyasint,omitempty"`
-	// Reports holds reports on other VMs, based on the sender's own state and on reports to it.
+	// Reports holds reports on other VMs, from which the sender received a message itself or on
+	// which it received a report.
 	Reports Reports `cbor:"7,keyasint,omitempty"`
 }
 
@@ -78,7 +79,7 @@
 	Member
 	incarnation, sequence uint64
 	ready                 bool
-	heardAt               time.Duration // last message; 0 for never
+	heardAt               time.Duration // last message, also as known from a report; 0 for never
 	learntAt              time.Duration
 	sentAt                time.Duration
 }
@@ -99,7 +100,7 @@
 }
 
 // Learn records addresses of members that the platform or another VM named. It doesn't change a
-// member from which a message arrived, and doesn't count as a sign of life.
+// member from which a message or on which a report arrived, and doesn't count as a sign of life.
 func (t *Table) Learn(now time.Duration, ms ...Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/gossip/table_test.go
+++ b/fleet/gossip/table_test.go
@@ -167,12 +167,12 @@
 // ready. The old one must be ignored.
 func TestReorderedDatagramIsIgnored(t *testing.T) {
 	tb := NewTable(member(0))
-	ok, met := tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 5, Ready: false})
+	ok, newIncarnation := tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 5, Ready: false})
 	require.True(t, ok)
-	require.True(t, met)
-	ok, met = tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 4, Ready: true})
+	require.True(t, newIncarnation)
+	ok, newIncarnation = tb.Apply(time.Second, &Message{From: member(1), Incarnation: 1, Sequence: 4, Ready: true})
 	require.False(t, ok)
-	require.False(t, met)
+	require.False(t, newIncarnation)
 	require.Empty(t, tb.Usable(time.Second, ""))
 }
 
--- a/fleet/member/doc.go
+++ b/fleet/member/doc.go
@@ -11,10 +11,10 @@
 // reach all VMs in about log(n) ticks. The rest of a message cycles through the digests
 // of the fleet, so load values are older in a larger fleet.
 //
-// A view never proves that a VM is alive or dead. It only answers safely whether this
-// VM may act on its view: Table.Fresh measures by this VM's own monotonic clock from
-// the sending of a ping that was answered. A paused VM therefore finds its views
-// outdated, however many old messages wait in its socket.
+// A view never proves that a VM is alive or dead. Only one question has a reliable
+// answer, whether this VM may act on its view: Table.Fresh measures by this VM's own
+// monotonic clock from the sending of a ping that was answered. A paused VM therefore
+// finds its views outdated, however many old messages wait in its socket.
 //
 // Lock order: Service.mu is a leaf lock that guards the Table. It is not held during a
 // call to the link or the platform.
--- a/fleet/member/message.go
+++ b/fleet/member/message.go
@@ -75,7 +75,7 @@
 }
 
 const (
-	suspicionSize = 16 // without its id
+	suspicionSize = 16 // encoded size in bytes, without the id
 )
 
 var decoding = func() cbor.DecMode {
--- a/fleet/member/service.go
+++ b/fleet/member/service.go
@@ -272,9 +272,11 @@
 
 // Dump is membership's part of the state dump.
 type Dump struct {
-	Self    Digest
-	Fresh   bool
-	States  map[string]int
+	Self  Digest
+	Fresh bool
+	// States is the number of other VMs by the name of their state.
+	States map[string]int
+	// Targets are the ids of the VMs that are pinged each tick.
 	Targets []string
 	Counts  Counts
 	Members []Member
--- a/fleet/member/service_test.go
+++ b/fleet/member/service_test.go
@@ -16,8 +16,9 @@
 )
 
 // A VM begins a planned stop while one datagram in ten is lost. Callers keep an answer
-// for address.AnswerTTL and the VM serves for address.DrainTime, so no VM may return its address
-// after address.DrainPropagation; otherwise a caller would connect to a stopped VM.
+// for address.AnswerTTL and the VM serves for address.DrainTime, so no VM may return its
+// address after address.DrainPropagation; otherwise a caller would connect to a stopped
+// VM.
 func TestDrainingVMIsNamedNoLongerThanSpread(t *testing.T) {
 	f := newFleet(112, 6)
 	require.Less(t, f.until(90, f.converged), 90)
--- a/fleet/member/state.go
+++ b/fleet/member/state.go
@@ -12,7 +12,7 @@
 type State uint8
 
 const (
-	// Listed is a VM on the platform's list that has not been in contact yet.
+	// Listed is a VM on the platform's list of which no digest has arrived yet.
 	Listed State = iota
 	// Alive is a VM whose beat increases.
 	Alive
--- a/fleet/member/sync.go
+++ b/fleet/member/sync.go
@@ -19,8 +19,8 @@
 	syncInterval = time.Minute
 	// syncTimeout bounds one synchronisation.
 	syncTimeout = 2 * time.Second
-	// maxSync bounds the digests of one synchronisation: ten times the fleet size of
-	// the design.
+	// maxSync bounds the digests of one synchronisation. It is ten times the largest
+	// fleet for which the package is designed, 400 VMs.
 	maxSync = 4000
 )
 
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -22,9 +22,9 @@
 	// silentTicks plus one tick per VM bound the time without a beat when no VM
 	// suspects the silent one. One link carries a given digest every n/4 ticks, so
 	// beats arrive late by a fraction of n: with n/5 a live VM in a fleet of 60 was
-	// marked down at times. The limit may be slow: when a watcher dies the ring closes
+	// marked down at times. The limit may be slow: when a watcher fails, the ring closes
 	// and the VM that watched it takes over its targets, so this limit only removes VMs
-	// that were never in contact.
+	// of which no digest ever arrived.
 	silentTicks = 10
 	// pauseTicks is the number of ticks without a call of Tick that shows that this
 	// process was paused.
@@ -79,6 +79,10 @@
 
 // Counts are event counts since the start.
 type Counts struct {
+	// Pauses counts pauses of this process. Suspicions, Denials and WentDown count other VMs
+	// that became suspect, showed a higher beat while suspect, and were marked down. Replaced
+	// counts VMs marked down because another VM took over their address. Foreign counts
+	// messages whose sender didn't match.
 	Pauses, Suspicions, Denials, WentDown, Replaced, Foreign int
 }
 
@@ -163,7 +167,7 @@
 }
 
 // ObserveList applies the platform's list, whose read began at askedAt. It adds unknown
-// VMs and drops those that are off the list and down. It never marks a VM alive or
+// VMs and drops those that are off the list and down or left. It never marks a VM alive or
 // dead, since the list lags in both directions.
 func (t *Table) ObserveList(now, askedAt time.Time, vms []durable.VM) {
 	if askedAt.After(t.lastList) {
--- a/fleet/member/table_test.go
+++ b/fleet/member/table_test.go
@@ -149,8 +149,8 @@
 	leaver := f.tables[vmID(1)]
 	late := leaver.self
 	late.Beat += 100
-	heardBy := leaver.targets[0]
-	f.partitioned = func(from, to string) bool { return from == vmID(1) && to != heardBy }
+	receiver := leaver.targets[0]
+	f.partitioned = func(from, to string) bool { return from == vmID(1) && to != receiver }
 	for _, o := range leaver.Leave() {
 		f.deliver(vmID(1), o)
 	}
@@ -173,19 +173,19 @@
 	f.step()
 	to, ok := table.syncTarget(0)
 	require.True(t, ok)
-	heardOf := len(table.rows)
+	rowsBefore := len(table.rows)
 	table.MergeDigests(f.now, f.tables[to.ID].Digests())
-	alive, hot := 0, 0
+	alive, urgent := 0, 0
 	for _, r := range table.rows {
 		if r.state == Alive {
 			alive++
 		}
 		if r.urgentCopies > 0 {
-			hot++
+			urgent++
 		}
 	}
 	require.Equal(t, 112, alive)
-	require.LessOrEqual(t, hot, heardOf)
+	require.LessOrEqual(t, urgent, rowsBefore)
 }
 
 // A process restarts on a VM whose wall clock was set back. Peers know the higher
--- a/fleet/member/tick.go
+++ b/fleet/member/tick.go
@@ -209,7 +209,7 @@
 	for range t.order {
 		t.digestCursor = (t.digestCursor + 1) % len(t.order)
 		r := t.order[t.digestCursor]
-		// The digest of a VM that is down or was never in contact carries no
+		// The digest of a VM that is down, or of which none has arrived, carries no
 		// information.
 		if r.urgentCopies > 0 || r.state != Alive && r.state != Left {
 			continue
--- a/fleet/peer/link.go
+++ b/fleet/peer/link.go
@@ -190,11 +190,13 @@
 
 // Dump is the link's part of the state dump.
 type Dump struct {
-	VM      string
+	VM string
+	// Address is the "ip:port" on which the link listens.
 	Address string
 	// Connections is the number of outgoing connections that are open.
 	Connections int
-	Methods     int
+	// Methods is the number of registered methods.
+	Methods int
 }
 
 // Dump returns the link's state.
--- a/fleet/peer/trial.go
+++ b/fleet/peer/trial.go
@@ -20,6 +20,7 @@
 // TrialSet is a CA with a certificate and key per VM, in PEM, for trials and tests. The
 // CA's key is discarded, so no further VM can be added.
 type TrialSet struct {
+	// CA is the CA's certificate.
 	CA []byte
 	// VMs is keyed by VM id.
 	VMs map[string]TrialVM
--- a/fleet/rendezvous/rendezvous_test.go
+++ b/fleet/rendezvous/rendezvous_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Position must return the index of an id in Rank's result, without computing the whole order.
+// Position must return the index of an id in Rank's result, and -1 for an unknown id.
 func TestPositionMatchesRank(t *testing.T) {
 	var ids []string
 	for i := range 40 {
--- a/fleet/slot/epoch.go
+++ b/fleet/slot/epoch.go
@@ -32,7 +32,8 @@
 
 // Change is the difference between an epoch and the one before it.
 type Change struct {
-	_      struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Joined are members of the epoch but not of the one before; Left is the reverse.
 	Joined []Process
 	Left   []Process
 }
@@ -131,7 +132,8 @@
 	return v
 }
 
-// holder returns the process that holds the slot; false when the holder is unknown.
+// holder returns the process that holds the slot; false when no process holds it or the
+// holder is unknown.
 func (v view) holder(k slotKey) (Process, bool) {
 	best := rendezvous.Best(k.String(), v.keys)
 	if i := slices.Index(v.keys, best); i >= 0 {
--- a/fleet/slot/model_test.go
+++ b/fleet/slot/model_test.go
@@ -41,12 +41,14 @@
 type policy uint8
 
 const (
-	exact       policy = iota
-	oneOwner           // the preferred VM in the sender's own view owns the whole endpoint; others forward to it
-	leasedOwner        // like oneOwner, with the owner fixed by epoch, evidence and wait
-	evenShare          // each VM takes the limit divided by the number of VMs, rounded up
-	evenFloor          // like evenShare, rounded down
-	optimistic         // every VM sends while the last load report shows free capacity
+	exact policy = iota
+	// oneOwner lets the VM that ranks first in the sender's own view own the whole endpoint;
+	// others forward to it.
+	oneOwner
+	leasedOwner // like oneOwner, with the owner fixed by epoch, evidence and wait
+	evenShare   // each VM takes the limit divided by the number of VMs, rounded up
+	evenFloor   // like evenShare, rounded down
+	optimistic  // every VM sends while the last load report shows free capacity
 )
 
 // faults holds the probability per second of each fault, per process or pair of
@@ -119,11 +121,11 @@
 // onProc runs run in the current process of p: never after a restart, and delayed while
 // p is paused.
 func (m *model) onProc(d time.Duration, p *proc, run func()) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	var try func()
 	try = func() {
 		switch {
-		case p.incarnation != life:
+		case p.incarnation != incarnation:
 		case p.pausedUntil > m.now:
 			m.after(p.pausedUntil-m.now, try)
 		default:
@@ -352,10 +354,10 @@
 		return
 	}
 	p.local[endpoint]++
-	life := p.incarnation
+	incarnation := p.incarnation
 	m.after(m.randomUpTo(m.faults.latency)+m.randomUpTo(m.maxFlight()), func() {
 		m.job(endpoint, func() {
-			if p.incarnation == life {
+			if p.incarnation == incarnation {
 				p.local[endpoint]--
 			}
 		})
--- a/fleet/slot/share.go
+++ b/fleet/slot/share.go
@@ -151,11 +151,14 @@
 	Self    Process
 	Epoch   uint64
 	Members int
-	Valid   bool
+	// Valid reports whether own slots may be used; see Table.Valid.
+	Valid bool
 	// Granted and Lent count the slots in use. Handed counts the slots that were handed
 	// over without a wait.
 	Granted, Lent, Handed int
-	Proposing             bool
+	// Proposing reports whether this process tried to write the next epoch and the attempt has
+	// not certainly failed.
+	Proposing bool
 }
 
 // Dump returns the state of the table at now.
--- a/fleet/slot/table.go
+++ b/fleet/slot/table.go
@@ -18,6 +18,7 @@
 
 // Grant is the right to send one request to a cold endpoint.
 type Grant struct {
+	// ID is passed to Table.Release; it is 0 for a borrowed slot.
 	ID       GrantID
 	Endpoint string
 	// StartBy is the time before which sending must begin, by this process's clock. The
--- a/fleet/slot/table_test.go
+++ b/fleet/slot/table_test.go
@@ -43,9 +43,9 @@
 	require.Greater(t, m.started, 120)
 }
 
-// A slot moves from a to b and on to c, and b never used it. c must obtain it by a
-// request, for which b first has a hand it over. Otherwise the slot would stay idle for
-// Params.Wait.
+// A slot moves from process a to b and on to c, and b never used it. c must obtain it by
+// a request to b, after b has requested the handover from a. Otherwise the slot would
+// stay idle for Params.Wait.
 func TestSlotThatMovesTwiceIsHandedOn(t *testing.T) {
 	procs := []Process{{ID: "a", Incarnation: 1}, {ID: "b", Incarnation: 1}, {ID: "c", Incarnation: 1}}
 	now := time.Unix(1000, 0)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A slot moves from a to b, back, and to b again while a's first handover reply is
+// A slot moves from process a to b, back, and to b again while a's first handover reply is
 // under way. The late reply refers to the first tenure; a may have used the slot since,
 // so b must ask again.
 func TestLateHandoverAnswerIsIgnored(t *testing.T) {
--- a/fleet/sticky/board.go
+++ b/fleet/sticky/board.go
@@ -9,7 +9,7 @@
 // keys by itself.
 const maxKeys = 1 << 16
 
-// Value is the value of a key; its meaning is the caller's.
+// Value is the value of a key. The users of the package define what each value means.
 type Value uint8
 
 // None is the value of a key without a decision.
@@ -55,7 +55,8 @@
 	Value Value
 	// Rank is the rank of the decision on the value, 0 if it was a proposal.
 	Rank uint8
-	// Age is how long the keeper has known the key; 0 if it stored the proposal.
+	// Age is how long the keeper has known the key; 0 if the key was unknown to it and Value is
+	// the proposal.
 	Age time.Duration
 	// Keeper is the name of the VM that answered.
 	Keeper string
--- a/fleet/sticky/service.go
+++ b/fleet/sticky/service.go
@@ -27,7 +27,7 @@
 	Self string
 	// Clock returns the time of a clock that continues while the VM is suspended.
 	Clock func() time.Duration
-	// Ring returns the ring of the VMs that are keepers now.
+	// Ring returns the ring of the VMs that can be keepers now.
 	Ring func() *Ring
 	// Send sends a packet to a keeper's address. The packet may be lost without an error.
 	Send func(b []byte, to string) error
--- a/fleet/sticky/sticky_test.go
+++ b/fleet/sticky/sticky_test.go
@@ -78,7 +78,7 @@
 
 // Guards against a key that is removed while a request holds it, or kept for ever after its
 // release is lost.
-func TestKeyIsKeptForItsRequestsAndARest(t *testing.T) {
+func TestKeyIsKeptForItsRequestsAndRetention(t *testing.T) {
 	b, k := NewStore(), KeyOf("k")
 	hold := func(now time.Duration, holder uint64, proposal Value) Value {
 		return b.Hold(now, Hold{Key: k, Holder: holder, MaxDuration: 10 * time.Second, Proposal: proposal}).Value
--- a/fleet/tally/board.go
+++ b/fleet/tally/board.go
@@ -37,8 +37,8 @@
 	Work     float32
 }
 
-// EndpointHash returns the hash that identifies an endpoint in messages. Two endpoints with the same
-// hash, one pair in a few million, only appear busier than they are.
+// EndpointHash returns the hash that identifies an endpoint in messages. Two endpoints with the
+// same hash, one pair in a few million, only appear busier than they are.
 func EndpointHash(endpoint string) uint32 { return rendezvous.HashOf(endpoint).Short() }
 
 // State is the load of the endpoints: one VM's in a report, that of all other VMs in an answer.
--- a/fleet/tally/service.go
+++ b/fleet/tally/service.go
@@ -40,7 +40,8 @@
 	// Self is the name of this VM; Address is the ip:port at which the Service listens.
 	Self    string
 	Address string
-	Clock   func() time.Duration
+	// Clock returns the time that ages and timeouts are measured by.
+	Clock func() time.Duration
 	// Keepers returns the VMs of this data centre that can be its keeper, this one included.
 	// VMs that know the same VMs must return the same order; the first one is the keeper.
 	Keepers func() []Keeper
@@ -68,7 +69,7 @@
 	kindReport        kind = iota + 1 // a VM's state; if RequestID is set, answered by kindTotals
 	kindTotals                        // the state of all other VMs
 	kindSummary                       // the sums of a data centre's work, for the other keepers
-	kindOutcomes                      // outcomes of a VM's recent attempts; answered by kindFleetOutcomes
+	kindOutcomes                      // a VM's recent outcomes; answered by kindFleetOutcomes
 	kindOutcomeSums                   // a data centre's sums of outcomes, for the other keepers
 	kindFleetOutcomes                 // the sums of outcomes over all VMs
 )
@@ -264,8 +265,8 @@
 	}
 }
 
-// handleTotals applies the answer to a query and wakes the waiting Refresh. It doesn't apply the state
-// if the answer to a later query was applied already.
+// handleTotals applies the answer to a query and wakes the waiting Refresh. It doesn't apply the
+// state if the answer to a later query was applied already.
 func (s *Service) handleTotals(m *message) {
 	s.mu.Lock()
 	done := s.waiting[m.RequestID]
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -128,8 +128,9 @@
 	return vms
 }
 
-// A VM that asks must receive what another VM reported, also when it is the keeper itself.
-func TestAskReturnsLoadOfOthers(t *testing.T) {
+// Refresh must give a VM the load that another VM reported, without its own, also if the VM is
+// the keeper.
+func TestRefreshReturnsLoadOfOthers(t *testing.T) {
 	vms := open(t, 3)
 	vms[1].state = State{Work: []Entry{{Endpoint: 7, Work: 2}}}
 	vms[1].ReportChange()
--- a/ledger/bill/bill.go
+++ b/ledger/bill/bill.go
@@ -27,10 +27,10 @@
 type Row struct {
 	Account      string `cbor:"1,keyasint"`
 	Version      string `cbor:"2,keyasint"`
-	Requests     int64  `cbor:"3,keyasint"`
+	Requests     int64  `cbor:"3,keyasint"` // number of bills, each request counted once
 	InputTokens  int64  `cbor:"4,keyasint"`
 	OutputTokens int64  `cbor:"5,keyasint"`
-	Micros       int64  `cbor:"6,keyasint"`
+	Micros       int64  `cbor:"6,keyasint"` // millionths of the account's currency
 }
 
 // Sums are the sums of the bills of a minute or a day.
@@ -70,7 +70,7 @@
 	Minute time.Time `cbor:"1,keyasint"`
 	Name   string    `cbor:"2,keyasint"`
 	Value  []byte    `cbor:"3,keyasint"`
-	Bills  int       `cbor:"4,keyasint"`
+	Bills  int       `cbor:"4,keyasint"` // number of bills in Value
 }
 
 func batchName(vm string, incarnation, number uint64) string {
--- a/ledger/bill/spool.go
+++ b/ledger/bill/spool.go
@@ -56,8 +56,11 @@
 }
 
 type metrics struct {
-	written prometheus.Counter // goldcrest_bills_written_total: bills in the store
-	lost    prometheus.Counter // goldcrest_bills_lost_total: bills dropped because the spool was full or they were too late
+	// written is goldcrest_bills_written_total: bills in the store.
+	written prometheus.Counter
+	// lost is goldcrest_bills_lost_total: bills dropped because the spool was full or they were
+	// too late.
+	lost    prometheus.Counter
 	batches prometheus.Counter // goldcrest_bill_batches_total: objects written
 	spooled prometheus.Gauge   // goldcrest_bills_spooled: bills in memory
 }
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -80,10 +80,10 @@
 	settler settler
 }
 
-// NewClaims returns the claims of a ledger. If living is nil, open claims of other VMs are
+// NewClaims returns the claims of a ledger. If isAlive is nil, open claims of other VMs are
 // reported as unknown.
-func NewClaims(l *Ledger, living IsAlive) *Claims {
-	c := &Claims{ledger: l, isAlive: living}
+func NewClaims(l *Ledger, isAlive IsAlive) *Claims {
+	c := &Claims{ledger: l, isAlive: isAlive}
 	c.settler.ledger = l
 	return c
 }
--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -21,8 +21,8 @@
 	booked     = Outcome{Known: true, Status: 201, Answer: []byte("booked")}
 )
 
-func testClaims(s durable.Store, vm string, living IsAlive) *Claims {
-	return NewClaims(New(s, nil, nil, Settings{VM: vm, Incarnation: 1}), living)
+func testClaims(s durable.Store, vm string, isAlive IsAlive) *Claims {
+	return NewClaims(New(s, nil, nil, Settings{VM: vm, Incarnation: 1}), isAlive)
 }
 
 func mustBegin(t *testing.T, c *Claims) *Ticket {
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against a claim that is opened again after its close. A shard's owner freezes with a
-// begin in its queue, the origin gives up and closes its claim, and the owner resumes.
+// Guards against a claim that is opened again after its close. A shard's owner is suspended
+// with a begin in its queue, the origin gives up and closes its claim, and the owner resumes.
 func TestBeginAfterItsOwnClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New()
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -25,11 +25,12 @@
 type Dump struct {
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
-	// RefusingFor is for how long callers are still refused because the store is down, in
-	// nanoseconds.
+	// RefusingFor is the time for which callers are still refused because the store is down,
+	// in nanoseconds.
 	RefusingFor time.Duration `json:"refusing_for_ns"`
-	Remembered  int           `json:"remembered_decisions"`
-	Shards      []ShardInfo   `json:"shards"`
+	// Remembered is the number of cached decisions that can't change any more.
+	Remembered int         `json:"remembered_decisions"`
+	Shards     []ShardInfo `json:"shards"`
 }
 
 // Dump returns the state of the shards that this VM has used, sorted by number.
--- a/ledger/entry.go
+++ b/ledger/entry.go
@@ -89,9 +89,11 @@
 	// Generation counts the claims of a key; a new one starts only after StateNotRun.
 	Generation  uint32      `cbor:"5,keyasint,omitempty"`
 	Fingerprint Fingerprint `cbor:"6,keyasint,omitempty"`
-	VM          string      `cbor:"7,keyasint,omitempty"`
-	Incarnation uint64      `cbor:"8,keyasint,omitempty"`
-	Status      uint16      `cbor:"9,keyasint,omitempty"`
+	// VM and Incarnation identify the process that claimed the key; Status is the HTTP status
+	// of the recorded answer.
+	VM          string `cbor:"7,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"8,keyasint,omitempty"`
+	Status      uint16 `cbor:"9,keyasint,omitempty"`
 	// Value is the decided value or the recorded answer.
 	Value []byte `cbor:"10,keyasint,omitempty"`
 	// Omitted is set if the answer was too long to record.
--- a/ledger/fakes_test.go
+++ b/ledger/fakes_test.go
@@ -9,13 +9,13 @@
 	"goldcrestfork/durable"
 )
 
-// vmStore is one VM's connection to the store. The VM can be frozen between any two steps, and
-// can crash just before or just after the effect of any of its calls.
+// vmStore is one VM's connection to the store. The VM can be suspended between any two steps,
+// and can crash just before or just after the effect of any of its calls.
 type vmStore struct {
 	durable.Store
 
 	mu                  sync.Mutex
-	resumed             chan struct{} // non-nil while frozen; closed by resume
+	resumed             chan struct{} // non-nil while suspended; closed by resume
 	crashed             bool
 	callsUntilCrash     int // 0: the VM doesn't crash
 	lastCallTakesEffect bool
@@ -23,7 +23,7 @@
 
 var errCrashed = errors.New("this VM has crashed")
 
-// nextCall blocks while the VM is frozen. It reports whether the call is made and whether the
+// nextCall blocks while the VM is suspended. It reports whether the call is made and whether the
 // VM gets its reply.
 func (v *vmStore) nextCall() (call, reply bool) {
 	v.waitUntilResumed()
@@ -45,14 +45,14 @@
 
 func (v *vmStore) waitUntilResumed() {
 	v.mu.Lock()
-	thaw := v.resumed
+	resumed := v.resumed
 	v.mu.Unlock()
-	if thaw != nil {
-		<-thaw
+	if resumed != nil {
+		<-resumed
 	}
 }
 
-func (v *vmStore) freeze() {
+func (v *vmStore) suspend() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.resumed == nil {
--- a/ledger/forward.go
+++ b/ledger/forward.go
@@ -21,7 +21,7 @@
 type peerRequest struct {
 	Op op `cbor:"1,keyasint"`
 	// Budget is how long the origin waits, in milliseconds, measured by the owner's own clock.
-	// An owner that was frozen then drops the operation; without the budget it would commit it
+	// An owner that was suspended then drops the operation; without the budget it would commit it
 	// long after the origin went on by itself.
 	Budget int64 `cbor:"2,keyasint"`
 }
--- a/ledger/gate.go
+++ b/ledger/gate.go
@@ -21,7 +21,7 @@
 	pause   time.Duration
 }
 
-// wait returns for how long callers are refused from now on; zero lets them pass.
+// wait returns the time for which callers are refused from now on; zero lets them pass.
 func (b *breaker) wait() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -15,7 +15,8 @@
 
 // Errors of a Ledger; compare with errors.Is.
 var (
-	// ErrUnavailable reports that the store can't be reached and that nothing was decided.
+	// ErrUnavailable reports that nothing was decided, in most cases because the store can't be
+	// reached; a busy owner or the end of the caller's context are other causes.
 	ErrUnavailable = errors.New("ledger unavailable")
 	// ErrUnknown reports that a write may have taken effect. A repeat of the operation with the
 	// same key returns the decision.
@@ -129,8 +130,8 @@
 
 // Decide fixes the value of a key. The first writer wins, and every later caller on any VM gets
 // the winner's value. mine reports whether the value is this call's. The entry is kept for the
-// given number of hours after its last use. After ErrUnknown the value may have been decided;
-// another call of Decide returns the decision.
+// given number of hours; a use in the second half of that time renews it. After ErrUnknown the
+// value may have been decided; another call of Decide returns the decision.
 func (l *Ledger) Decide(ctx context.Context, key Key, value []byte, hours uint32) (winner []byte, mine bool, err error) {
 	if len(value) > l.settings.MaxValue {
 		return nil, false, ErrTooLong
--- a/ledger/ledgerbench/main.go
+++ b/ledger/ledgerbench/main.go
@@ -51,7 +51,7 @@
 type mode struct {
 	name                        string
 	forwardToOwner, groupCommit bool
-	writesPerSecond             float64 // write rate for all shards together, per second; negative: no limit
+	writesPerSecond             float64 // limit for all shards together; negative: none
 }
 
 // fleet is a set of VMs with ledgers over one store.
--- a/ledger/ledgerbench/run.go
+++ b/ledger/ledgerbench/run.go
@@ -33,7 +33,7 @@
 	requests, failed, puts, conflicts float64
 	batch, overRate                   float64
 	p50, p99                          time.Duration
-	cpu                               time.Duration // processor time of the process, stand-in included, per decision
+	cpu                               time.Duration // processor time per decision, stand-in included
 	cpuShare                          float64       // share of one core
 	bytes                             float64       // bytes put to the store, per second
 }
--- a/ledger/metrics.go
+++ b/ledger/metrics.go
@@ -13,15 +13,25 @@
 var batchBuckets = []float64{1, 2, 4, 8, 16, 32, 64, 128, 512, 2048}
 
 type metrics struct {
-	decides       *prometheus.CounterVec // goldcrest_ledger_decides_total{outcome}: operations by outcome
-	writes        *prometheus.CounterVec // goldcrest_ledger_writes_total{result}: writes of heads
-	conflicts     prometheus.Counter     // goldcrest_ledger_conflicts_total: head writes that lost to another VM's
-	reads         prometheus.Counter     // goldcrest_ledger_reads_total: reads of heads and segments
-	batch         prometheus.Histogram   // goldcrest_ledger_batch_entries: operations in one committed write
-	segments      *prometheus.CounterVec // goldcrest_ledger_segments_total{event}: sealed, seal_failed, deleted
-	forwards      *prometheus.CounterVec // goldcrest_ledger_forwards_total{result}: operations sent to a shard's owner
-	settlePending prometheus.Gauge       // goldcrest_ledger_settle_pending: outcomes not yet recorded
-	settleLost    prometheus.Counter     // goldcrest_ledger_settle_lost_total: outcomes that were dropped; their claims stay unknown
+	// decides is goldcrest_ledger_decides_total{outcome}: operations by outcome.
+	decides *prometheus.CounterVec
+	// writes is goldcrest_ledger_writes_total{result}: writes of heads.
+	writes *prometheus.CounterVec
+	// conflicts is goldcrest_ledger_conflicts_total: head writes that lost to another VM's.
+	conflicts prometheus.Counter
+	// reads is goldcrest_ledger_reads_total: reads of heads and segments.
+	reads prometheus.Counter
+	// batch is goldcrest_ledger_batch_entries: operations in one committed write.
+	batch prometheus.Histogram
+	// segments is goldcrest_ledger_segments_total{event}: sealed, seal_failed, deleted.
+	segments *prometheus.CounterVec
+	// forwards is goldcrest_ledger_forwards_total{result}: operations sent to a shard's owner.
+	forwards *prometheus.CounterVec
+	// settlePending is goldcrest_ledger_settle_pending: outcomes not yet recorded.
+	settlePending prometheus.Gauge
+	// settleLost is goldcrest_ledger_settle_lost_total: outcomes that were dropped; their claims
+	// stay unknown.
+	settleLost prometheus.Counter
 }
 
 func newMetrics(r prometheus.Registerer) *metrics {
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -18,7 +18,7 @@
 
 // Guards the ledger's guarantees: each key has one value, a request runs at most once, nothing
 // acknowledged is lost, and nothing refused takes effect. Several VMs decide and claim a few
-// keys under random schedules of outages, lost replies, late writes, freezes, crashes at any
+// keys under random schedules of outages, lost replies, late writes, suspensions, crashes at any
 // call, and peer calls that are lost or late.
 
 const (
@@ -60,7 +60,7 @@
 	actFaults
 	actHold
 	actOutage
-	actFreeze
+	actSuspend
 	actCrash
 	actNetwork
 	actSleep
@@ -176,8 +176,8 @@
 		m.store.SetFaults(store.Faults{HoldWrites: a.Count, HoldFor: a.Wait + 1})
 	case actOutage:
 		m.store.SetFaults(store.Faults{Down: a.Flag})
-	case actFreeze:
-		vm.store.freeze()
+	case actSuspend:
+		vm.store.suspend()
 		time.AfterFunc(3*a.Wait, vm.store.resume)
 	case actCrash:
 		vm.store.crashAfter(a.Count, a.Flag)
--- a/ledger/pace.go
+++ b/ledger/pace.go
@@ -10,7 +10,7 @@
 	// without writes: the claims and outcomes of two requests. With a burst of two, one request
 	// in a hundred waited 0.3 s at a third of the load (docs/design/ledger.md).
 	paceBurst = 4
-	// activeWindow is for how long a shard counts as in use after its worker last ran.
+	// activeWindow is the time for which a shard counts as in use after its worker last ran.
 	activeWindow = 10 * time.Second
 )
 
--- a/ledger/pin/pin.go
+++ b/ledger/pin/pin.go
@@ -11,7 +11,8 @@
 	"goldcrestfork/ledger"
 )
 
-// RecordRetentionHours is the retention of a session's record after its last use, in hours.
+// RecordRetentionHours is the retention of a session's record in hours. A use in the second half
+// of that time renews it.
 const RecordRetentionHours = 24
 
 // Source is the origin of a session's version.
@@ -55,7 +56,7 @@
 // New returns Pins that keep records in a ledger and use tokens of signer.
 func New(l Decider, signer *Signer) *Pins { return &Pins{ledger: l, signer: signer} }
 
-// Version returns a session's version. shares are the roll-out's configured weights, for the
+// Version returns a session's version. weights are the configured weights of the roll-out's
 // versions that the session's account may use. usable reports whether a pinned version may
 // still be used. now is the wall-clock time, for the token's lifetime. The only error is
 // ErrNoVersion.
@@ -64,7 +65,7 @@
 // version that it left. The next version is decided under a key that contains the version left,
 // so that all VMs agree on it. If the version left becomes usable again, a session without a
 // token returns to it.
-func (p *Pins) Version(ctx context.Context, s Session, token string, shares []VersionWeight, usable func(string) bool, now time.Time) (Pin, error) {
+func (p *Pins) Version(ctx context.Context, s Session, token string, weights []VersionWeight, usable func(string) bool, now time.Time) (Pin, error) {
 	var moved string
 	if version, err := p.signer.Verify(s, token, now); err == nil {
 		if usable(version) {
@@ -72,7 +73,7 @@
 		}
 		moved = version
 	}
-	choice, ok := ChooseVersion(s, shares)
+	choice, ok := ChooseVersion(s, weights)
 	if !ok {
 		return Pin{}, ErrNoVersion
 	}
--- a/ledger/pin/share.go
+++ b/ledger/pin/share.go
@@ -21,16 +21,16 @@
 //
 // Load pattern: many new sessions while the store is down. Without it each VM would choose by
 // itself, and a session would get another version on each VM.
-func ChooseVersion(s Session, shares []VersionWeight) (string, bool) {
+func ChooseVersion(s Session, weights []VersionWeight) (string, bool) {
 	best, found := "", false
 	bestScore := math.Inf(-1)
-	for _, share := range shares {
-		if share.Weight <= 0 {
+	for _, v := range weights {
+		if v.Weight <= 0 {
 			continue
 		}
-		score := share.Weight / -math.Log(uniform(s, share.Version))
-		if score > bestScore || score == bestScore && share.Version < best {
-			best, bestScore, found = share.Version, score, true
+		score := v.Weight / -math.Log(uniform(s, v.Version))
+		if score > bestScore || score == bestScore && v.Version < best {
+			best, bestScore, found = v.Version, score, true
 		}
 	}
 	return best, found
--- a/ledger/pin/token.go
+++ b/ledger/pin/token.go
@@ -44,9 +44,9 @@
 
 // NewSigner returns a Signer that signs with the first key and accepts all keys. Keys can thus
 // be replaced without a VM refusing another's tokens: the new key is first added in last place
-// on every VM, then put first, and then the old one is removed. life is the lifetime of a
+// on every VM, then put first, and then the old one is removed. lifetime is that of a
 // token; 0 means DefaultTokenLifetime. The error is ErrKeyTooShort.
-func NewSigner(life time.Duration, keys ...[]byte) (*Signer, error) {
+func NewSigner(lifetime time.Duration, keys ...[]byte) (*Signer, error) {
 	if len(keys) == 0 {
 		return nil, ErrKeyTooShort
 	}
@@ -55,10 +55,10 @@
 			return nil, ErrKeyTooShort
 		}
 	}
-	if life == 0 {
-		life = DefaultTokenLifetime
+	if lifetime == 0 {
+		lifetime = DefaultTokenLifetime
 	}
-	return &Signer{keys: keys, tokenLifetime: life}, nil
+	return &Signer{keys: keys, tokenLifetime: lifetime}, nil
 }
 
 // Sign returns a token that pins a session to a version. The token contains the version and its
--- a/ledger/process_test.go
+++ b/ledger/process_test.go
@@ -27,14 +27,14 @@
 // Guards against orders that run twice and against a wrong answer "done". Three VMs, as
 // processes over loopback, submit the same orders to one service, each in its own sequence, as
 // callers do that send an order again to another VM. One VM is killed while its order runs,
-// another is frozen while the others pass its order, and the store is down for a while.
+// another is suspended while the others pass its order, and the store is down for a while.
 
 const (
 	processVMs    = 3
 	processOrders = 60
 	killAt        = 7  // number of the run at which its VM is killed; a new process replaces it
-	freezeAt      = 15 // number of the run at which its VM is frozen
-	thawAt        = 30
+	suspendAt     = 15 // number of the run at which its VM is suspended
+	resumeAt      = 30
 	outageAt      = 35
 	outageCalls   = 8 // calls that the store refuses during the outage
 )
@@ -119,13 +119,13 @@
 	urls   [2]string
 	exited sync.WaitGroup
 
-	mu     sync.Mutex
-	runs   map[string]int
-	total  int
-	vms    [processVMs]*exec.Cmd
-	killed string
-	frozen *exec.Cmd
-	failed []string
+	mu        sync.Mutex
+	runs      map[string]int
+	total     int
+	vms       [processVMs]*exec.Cmd
+	killed    string
+	suspended *exec.Cmd
+	failed    []string
 }
 
 func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -140,11 +140,11 @@
 		s.killed = order
 		s.signal(s.vms[vm], syscall.SIGKILL)
 		s.start(vm)
-	case freezeAt:
-		s.frozen = s.vms[vm]
-		s.signal(s.frozen, syscall.SIGSTOP)
-	case thawAt:
-		s.signal(s.frozen, syscall.SIGCONT)
+	case suspendAt:
+		s.suspended = s.vms[vm]
+		s.signal(s.suspended, syscall.SIGSTOP)
+	case resumeAt:
+		s.signal(s.suspended, syscall.SIGCONT)
 	case outageAt:
 		s.store.SetFaults(store.Faults{Down: true})
 		s.refuse.Store(outageCalls)
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -98,8 +98,8 @@
 type plan struct {
 	results []result
 	changes map[Key]Entry
-	// final is set if the results hold whatever other VMs have written since the state was
-	// loaded.
+	// final is set if the results stay valid regardless of what other VMs have written since the
+	// state was loaded.
 	final bool
 }
 
