--- a/fleet/peer/link.go
+++ b/fleet/peer/link.go
@@ -12,9 +12,8 @@
 )
 
 const (
-	// handshakeTimeout bounds a dial. It allows a few round trips between far regions
-	// and is shorter than every caller's deadline, so that a dead VM costs at most one
-	// second.
+	// handshakeTimeout bounds a dial. It allows a few round trips between far regions,
+	// and a caller with a longer deadline loses at most one second to a dead VM.
 	handshakeTimeout = time.Second
 	// idleTimeout ends a connection without traffic. Heartbeats arrive every second, so
 	// a silent connection is broken or unused.
--- a/fleet/tally/service.go
+++ b/fleet/tally/service.go
@@ -40,7 +40,7 @@
 	// Self is the name of this VM; Address is the ip:port at which the Service listens.
 	Self    string
 	Address string
-	// Clock returns the time that ages and timeouts are measured by.
+	// Clock returns the time from which the ages of reports and the backoffs are computed.
 	Clock func() time.Duration
 	// Keepers returns the VMs of this data centre that can be its keeper, this one included.
 	// VMs that know the same VMs must return the same order; the first one is the keeper.
--- a/ledger/bill/reader.go
+++ b/ledger/bill/reader.go
@@ -60,11 +60,12 @@
 	return total.sums(), nil
 }
 
-// minute returns a minute's sums: the stored ones in at, or else new ones.
-func (r *Reader) minute(ctx context.Context, minute time.Time, at durable.Object, now time.Time) (Sums, error) {
+// minute returns a minute's sums: those in the object stored, or else new ones. stored is empty if
+// the minute was not summed up yet.
+func (r *Reader) minute(ctx context.Context, minute time.Time, stored durable.Object, now time.Time) (Sums, error) {
 	var f minuteSums
-	if at.Version != 0 {
-		if err := cbor.Unmarshal(at.Value, &f); err != nil {
+	if stored.Version != 0 {
+		if err := cbor.Unmarshal(stored.Value, &f); err != nil {
 			return Sums{}, err
 		}
 	}
@@ -74,7 +75,7 @@
 	if now.Sub(minute) < aggregateAfter {
 		return r.sumBatches(ctx, minute)
 	}
-	return r.aggregate(ctx, minute, at.Version)
+	return r.aggregate(ctx, minute, stored.Version)
 }
 
 // sumBatches returns the sums of a minute's batches; each request counts once.
@@ -100,13 +101,13 @@
 // marker, then lists the batches, and then replaces the marker conditionally. The write of a
 // late batch is followed by the deletion of the minute's sums or marker. So either the listing
 // contains the batch, or the marker is gone and the sums are not stored.
-func (r *Reader) aggregate(ctx context.Context, minute time.Time, at int64) (Sums, error) {
+func (r *Reader) aggregate(ctx context.Context, minute time.Time, version int64) (Sums, error) {
 	key := durable.Key{Kind: sumsKind(minute), Name: sumsName(minute)}
 	marker, err := cbor.Marshal(minuteSums{})
 	if err != nil {
 		return Sums{}, err
 	}
-	marked, markErr := r.store.Put(ctx, key, marker, at)
+	marked, markErr := r.store.Put(ctx, key, marker, version)
 	sums, err := r.sumBatches(ctx, minute)
 	if err != nil || markErr != nil {
 		// Another reader is summing up the minute, or it is unknown whether the marker was
--- a/ledger/pin/pin_test.go
+++ b/ledger/pin/pin_test.go
@@ -101,9 +101,9 @@
 	s := store.New()
 	ctx := t.Context()
 	old, stepped := []VersionWeight{{"v1", 1}}, []VersionWeight{{"v2", 1}}
-	at := func(vm, token string, shares []VersionWeight, usable func(string) bool) Pin {
+	at := func(vm, token string, weights []VersionWeight, usable func(string) bool) Pin {
 		t.Helper()
-		p, err := newPins(t, s, vm).Version(ctx, session, token, shares, usable, now)
+		p, err := newPins(t, s, vm).Version(ctx, session, token, weights, usable, now)
 		require.NoError(t, err)
 		return p
 	}
