--- a/fleet/peer/link.go
+++ b/fleet/peer/link.go
@@ -12,9 +12,8 @@
 )
 
 const (
-	// handshakeTimeout bounds a dial. It allows a few round trips between far regions
-	// and is shorter than every caller's deadline, so that a dead VM costs at most one
-	// second.
+	// handshakeTimeout bounds a dial. It allows a few round trips between far regions,
+	// and a caller with a longer deadline loses at most one second to a dead VM.
 	handshakeTimeout = time.Second
 	// idleTimeout ends a connection without traffic. Heartbeats arrive every second, so
 	// a silent connection is broken or unused.
@@ -190,11 +189,13 @@
 
 // Dump is the link's part of the state dump.
 type Dump struct {
-	VM      string
+	VM string
+	// Address is the "ip:port" on which the link listens.
 	Address string
 	// Connections is the number of outgoing connections that are open.
 	Connections int
-	Methods     int
+	// Methods is the number of registered methods.
+	Methods int
 }
 
 // Dump returns the link's state.
