--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -20,7 +20,7 @@
 // Settings holds the durations of a Lease.
 type Settings struct {
 	// TTL is how long the holder may act after it sent a renewal. Default 6 s. When
-	// a holder dies, the next VM acts within TTL, the margin on it and one renewal
+	// a holder crashes, the next VM acts within TTL, the margin on it and one renewal
 	// interval, 8.6 s in all. A shorter lease would be lost to one slow platform call.
 	TTL time.Duration
 	// Interval is the time between the holder's renewals, and between the reads of
--- a/control/orders/doc.go
+++ b/control/orders/doc.go
@@ -9,7 +9,7 @@
 // configuration, therefore can't switch an endpoint back and forth.
 //
 // An endpoint that checks fencing numbers refuses late orders. One that ignores them
-// (config.Endpoint.Fenced is false) would obey a late order. For such an endpoint
+// (config.Endpoint.Fenced is false) would apply a late order. For such an endpoint
 //   - a new holder first waits until no order of its predecessor can be in flight;
 //   - after an order without an answer the controller waits as long before the next one;
 //   - the controller reads the endpoint's report repeatedly and corrects differences.
--- a/control/orders/placement.go
+++ b/control/orders/placement.go
@@ -46,7 +46,7 @@
 	return p
 }
 
-// Order tells an endpoint which versions and role to take on.
+// Order lists the versions and the role that an endpoint is to have.
 type Order struct {
 	Placement
 	// Fence is the fencing number: the version of the endpoint's record.
@@ -70,7 +70,7 @@
 	Report(ctx context.Context, e *config.Endpoint) (Report, error)
 }
 
-// ErrFenced means that the endpoint has already obeyed an order with a higher fencing
+// ErrFenced means that the endpoint has already applied an order with a higher fencing
 // number.
 var ErrFenced = errors.New("order refused for its old fencing number")
 
--- a/control/orders/task.go
+++ b/control/orders/task.go
@@ -174,7 +174,7 @@
 // ensureRecord writes the wanted placement to the endpoint's record if necessary and
 // returns the fencing number. It reads the record each time. With a cached record a
 // holder would go on sending orders after another VM had recorded a newer placement,
-// and an endpoint that ignores fencing numbers would obey both in turn.
+// and an endpoint that ignores fencing numbers would apply both in turn.
 func (c *Controller) ensureRecord(ctx context.Context, t *task, s *config.Snapshot, e *config.Endpoint) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, durable.CallTimeout)
 	defer cancel()
--- a/fleet/member/state.go
+++ b/fleet/member/state.go
@@ -26,6 +26,7 @@
 
 var stateNames = [...]string{"listed", "alive", "suspect", "down", "left"}
 
+// String returns the state's name, or "State(N)" for an unknown state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
--- a/fleet/member/tick.go
+++ b/fleet/member/tick.go
@@ -98,7 +98,7 @@
 
 // newSuspicion returns a suspicion that a live VM has already refuted by its current
 // beat. Other VMs may have received a beat or two more than this watcher before the VM
-// died; they would refute a suspicion at the watcher's own beat and mark the dead VM
+// crashed; they would refute a suspicion at the watcher's own beat and mark the dead VM
 // alive again.
 func (m *member) newSuspicion() Suspicion {
 	return Suspicion{
--- a/fleet/peer/errors.go
+++ b/fleet/peer/errors.go
@@ -25,6 +25,7 @@
 	Message string
 }
 
+// Error returns the method, the VM and the handler's error text.
 func (e *RemoteError) Error() string {
 	return fmt.Sprintf("%s on %s: %s", e.Method, e.VM, e.Message)
 }
--- a/gateway/forward/plain.go
+++ b/gateway/forward/plain.go
@@ -83,7 +83,7 @@
 	return done, nil
 }
 
-// impliesNotRun reports whether a status tells callers that the request has not run.
+// impliesNotRun reports whether a status states that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/gateway/node/announce.go
+++ b/gateway/node/announce.go
@@ -55,7 +55,7 @@
 func (n *Node) startFollowers() { n.peersKnownOnce.Do(func() { close(n.peersKnown) }) }
 
 // readMembers learns the other VMs from their entries and reports whether this VM's own entry
-// is right.
+// is among them with the current values.
 func (n *Node) readMembers(ctx context.Context, list func(context.Context) (view.Listing[gossip.Member], error)) (entered bool, err error) {
 	l, err := list(ctx)
 	if err != nil {
--- a/gateway/node/listen.go
+++ b/gateway/node/listen.go
@@ -83,8 +83,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveDirectory returns the addresses of the VMs to use: this VM and the others that were
-// heard recently, if they are ready, with the caller's data centre first.
+// serveDirectory returns the addresses of the VMs to use: this VM and the others that sent a
+// message recently, if they are ready, with the caller's data centre first.
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
 	near := n.edge.DataCentreOf(r)
 	var addresses []string
--- a/gateway/node/pins.go
+++ b/gateway/node/pins.go
@@ -19,7 +19,7 @@
 	whyTakenBack  = "taken-back"
 	whyTrial      = "trial"
 	whyNotInTrial = "not-in-trial"
-	whyWorse      = "worse"       // a VM judged the new version worse
+	whyWorse      = "worse"       // a VM found the new version worse
 	whyNotExposed = "not-exposed" // the trial has not begun on this VM
 	whyStays      = "stays"       // the session uses the old version
 	whyMoved      = "moved"       // to the new version, by a VM that knew earlier of its acceptance
--- a/gateway/node/watchers.go
+++ b/gateway/node/watchers.go
@@ -16,7 +16,7 @@
 	// datagrams before they read anything: four rounds, after which 91 VMs know most others.
 	// VMs that read at once each list four kinds and then watch them, since each believes that
 	// it ranks first. At any other start a VM calls the platform at once: after a crash of all
-	// VMs no other VM knows more, and callers are back within ms.
+	// VMs no other VM knows more, and callers return within milliseconds.
 	discoveryTime = 1600 * time.Millisecond
 	// firstListTimeout is how long a VM then waits for those that read the platform, in a tree
 	// of three levels; traffic follows after ten seconds.
--- a/gateway/upstream/exchange.go
+++ b/gateway/upstream/exchange.go
@@ -179,7 +179,7 @@
 }
 
 // Close returns the connection to the pool if it can carry another request. Otherwise it closes
-// the connection, which tells the endpoint to stop work. Further calls have no effect.
+// the connection, which makes the endpoint stop its work. Further calls have no effect.
 func (a *Answer) Close() {
 	if a.closed {
 		return
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -167,8 +167,8 @@
 }
 
 // CloseNotRun records that no byte of the request left this VM, so that a repeat may claim the
-// key again. The caller must have proof, such as a failed dial; a timeout is none. The answer
-// "not run" is true whatever the error, which has the same meaning as that of Finish.
+// key again. The caller must be certain of it, as after a failed dial; a timeout is not enough.
+// The answer "not run" is true whatever the error, which has the same meaning as that of Finish.
 func (c *Claims) CloseNotRun(ctx context.Context, t *Ticket) error {
 	return c.recordOutcome(ctx, op{Kind: opClose, Key: t.key, Nonce: t.nonce, Hours: ClaimRetentionHours})
 }
--- a/ledger/gate.go
+++ b/ledger/gate.go
@@ -6,7 +6,7 @@
 )
 
 // Limits of the wait after a batch that the platform did not take. 400 VMs that probe every two
-// seconds cost a platform that comes back 200 calls a second, a tenth of its reads.
+// seconds cost a platform that recovers 200 calls a second, a tenth of its reads.
 const (
 	minPause = 250 * time.Millisecond
 	maxPause = 2 * time.Second
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -20,7 +20,7 @@
 	// The fields below are guarded by shard.mu.
 
 	inWrite   bool // a write with these operations is under way, or inDoubt is set
-	abandoned bool // the caller stopped waiting and was told that its operations have no effect
+	abandoned bool // the caller stopped waiting and got the answer that its operations have no effect
 }
 
 type reply struct {
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -11,7 +11,7 @@
 // Sizes of a shard's objects, in bytes.
 const (
 	// sealBytes is the size of the head above which its entries are moved to a segment. Every
-	// write carries the head, and a node has 14 KB/s for control traffic.
+	// write carries the head, and a VM has 14 KB/s for control traffic.
 	sealBytes = 8 << 10
 	// maxSegment is the maximum size of a merged segment, below durable.MaxValueBytes.
 	maxSegment = 896 << 10
--- a/policy/admission/types.go
+++ b/policy/admission/types.go
@@ -75,7 +75,7 @@
 	// answer. The default, 0, means unknown: no item is refused for its deadline.
 	SecondsPerUnit float64
 	// MaxItems is the maximum number of queued items. The default is 4096: at 32 KB a
-	// request, this is half of the 256 MB that a node may use.
+	// request, this is half of the 256 MB that a VM may use.
 	MaxItems int
 	// Reserve is the share of slots that accounts above their share leave free while
 	// other accounts are active, in addition to ImmediateReserve. The default is 0.15; a
--- a/policy/datacentre/doc.go
+++ b/policy/datacentre/doc.go
@@ -1,7 +1,7 @@
 // Package datacentre decides how much new work a data centre gets while operators take
-// it out of service and bring it back.
+// it out of service and return it to service.
 //
-// A data centre that comes back has the shortest queues, so a choice by load sends it
+// A data centre that returns has the shortest queues, so a choice by load sends it
 // all new work. Its prefix caches are empty and its engines cold, so each request costs
 // several times its usual work: queues build up within seconds, and callers miss
 // deadlines that were met while the data centre was out. A return therefore ramps up
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -78,7 +78,8 @@
 	Fixed bool
 }
 
-// DefaultConfig is the configuration used for the measurements in docs/DECISIONS.md.
+// DefaultConfig is the default configuration, on which the results in docs/DECISIONS.md are
+// based.
 var DefaultConfig = Config{Tolerance: DefaultTolerance}
 
 // Sample is the result of one finished request, as a signal about its endpoint.
--- a/policy/loadtest/callers.go
+++ b/policy/loadtest/callers.go
@@ -42,7 +42,7 @@
 	r.send(q)
 }
 
-// send makes one try of a request. The caller hangs up when its patience has
+// send makes one try of a request. The caller disconnects when its timeout has
 // passed.
 func (r *run) send(q *request) {
 	r.pendingTries++
--- a/policy/loadtest/modules.go
+++ b/policy/loadtest/modules.go
@@ -80,7 +80,7 @@
 }
 
 // fifo is the baseline of admission: an unbounded first-in, first-out queue. Calls
-// whose callers hang up are removed, as any server does.
+// whose callers disconnect are removed, as in any server.
 type fifo struct {
 	capacity, running int
 	items             []admission.Item
--- a/policy/loadtest/run.go
+++ b/policy/loadtest/run.go
@@ -32,7 +32,7 @@
 	poisonTries       = 12
 	poisonResendDelay = 300 * time.Millisecond
 	// probeDeadlineFactor is the number of expected durations that a request's
-	// patience must exceed before the request may probe an endpoint on probation.
+	// timeout must exceed before the request may probe an endpoint on probation.
 	// That is enough time for an attempt at a quarter of the speed at which
 	// endpoints are ejected, and for another attempt elsewhere.
 	probeDeadlineFactor = 10
--- a/policy/loadtest/vm.go
+++ b/policy/loadtest/vm.go
@@ -137,7 +137,7 @@
 	v.queue.Release(v.run.loop.now, c.item, elapsed, 0)
 }
 
-// hangUp ends a call whose caller leaves at its deadline.
+// hangUp ends a call whose caller disconnects at its deadline.
 func (v *vm) hangUp(c *call) {
 	if c.ended {
 		return
--- a/policy/patience/doc.go
+++ b/policy/patience/doc.go
@@ -5,7 +5,7 @@
 // is healthy otherwise and answers other requests. At other times an overload delays all
 // answers, and sending each request twice delays them further.
 //
-// Without it: a caller waits until its deadline, or until it gives up, although other endpoints
+// Without it: a caller waits until its deadline, or until it disconnects, although other endpoints
 // would answer within tens of milliseconds.
 //
 // The package has no network and no clock.
--- a/policy/placement/doc.go
+++ b/policy/placement/doc.go
@@ -3,7 +3,7 @@
 //
 // Load pattern: up to dozens of VMs decide independently; prompt sizes differ by a factor of a
 // hundred; prompts share long prefixes, which an engine that has them cached does not read
-// again; endpoints crash, come back cold and leave in groups.
+// again; endpoints crash, return cold and leave in groups.
 //
 // Without it: VMs that all choose the endpoint with the least reported load overload the same
 // one until the next report; a shared prefix of 5,000 tokens is read again on each engine; an
@@ -15,7 +15,7 @@
 // queue at one engine while others are idle.
 //
 // The failures that all VMs observed are set too (Table.SetRecords), since with hundreds of VMs
-// each one sees an endpoint too seldom to judge it. An endpoint that fails a larger share of its
+// each one sees an endpoint too seldom to assess it. An endpoint that fails a larger share of its
 // requests than is usual in its pool costs more; one whose address is answered by another
 // incarnation is avoided.
 //
--- a/policy/placement/table.go
+++ b/policy/placement/table.go
@@ -76,7 +76,7 @@
 
 // Values of Outcome.
 const (
-	// NoSignal says nothing about the endpoint, for example when the caller left.
+	// NoSignal says nothing about the endpoint, for example when the caller disconnected.
 	NoSignal Outcome = iota
 	// Good: the endpoint answered correctly.
 	Good
--- a/policy/poison/poison.go
+++ b/policy/poison/poison.go
@@ -34,9 +34,10 @@
 
 const (
 	// DistinctLarge is the number of different endpoints that a request must have crashed
-	// before it is quarantined. DistinctSmall applies to pools with fewer than
-	// smallPoolSize endpoints, since three crashes would take down a pool of three.
+	// before it is quarantined in a pool of at least smallPoolSize endpoints.
 	DistinctLarge = 3
+	// DistinctSmall is that number for smaller pools, since three crashes would take
+	// down a pool of three.
 	DistinctSmall = 2
 	smallPoolSize = 8
 	// Threshold is the blame that leads to quarantine. With seven new requests in flight
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -24,7 +24,7 @@
 	Ratio = 0.1
 	// maxBalance bounds the balance saved up while few requests fail, in mean requests.
 	// It is enough to move the requests in flight on one endpoint, with 16 slots, to
-	// others when it dies.
+	// others when it crashes.
 	maxBalance = 16.0
 	// initialBalance lets a new account retry before its first ten requests, in mean
 	// requests.
--- a/policy/sizing/sizing.go
+++ b/policy/sizing/sizing.go
@@ -10,7 +10,7 @@
 // largest model is asked. Models of sizes in between are skipped: they answer few more requests
 // well than the smallest, so that such a step mostly costs twice.
 //
-// Available capacity is judged by the time at which the larger model's first event is expected
+// Available capacity is assessed by the time at which the larger model's first event is expected
 // (package placement), which shows whether the answer is in time, and by the number of requests
 // at an engine, which determines how long answers take there.
 //
@@ -62,8 +62,9 @@
 // smallest model's.
 const largestWork = 7
 
-// Work returns the time that model at of n models takes, as a multiple of the smallest model's.
-// Models in between, which are seldom asked, are spaced in geometric progression.
+// Work returns the time that the model with index at, of n models by size, takes, as a multiple
+// of the smallest model's. Models in between, which are seldom asked, are spaced in geometric
+// progression.
 func Work(at, n int) float64 {
 	if n < 2 || at <= 0 {
 		return 1
--- a/policy/trial/doc.go
+++ b/policy/trial/doc.go
@@ -1,13 +1,13 @@
-// Package trial judges a new model version within seconds: it serves part of the sessions, its
-// answers are compared with the old version's over all VMs, and it is either taken or taken
-// back before the time set by the operators is over.
+// Package trial evaluates a new model version within seconds: the version serves part of the
+// sessions, its answers are compared with the old version's over all VMs, and it is either
+// accepted (Take) or rolled back (TakeBack) before the time set by the operators is over.
 //
 // Load pattern: a roll-out of 12 to 24 s under the usual traffic. The new version is good, or
 // it fails or slows a third or half of its requests: at once, after some seconds, or under load
 // only.
 //
 // Without it: all sessions use the new version at once, or none does and a good one is never
-// taken.
+// accepted.
 //
 // A session keeps its version. A hash, the same on each VM, selects the sessions that try the
 // new one, and sessions that the old version served recently stay there (package sticky keeps
--- a/policy/trial/trial.go
+++ b/policy/trial/trial.go
@@ -19,16 +19,16 @@
 	// of the order at different times.
 	startDelay = time.Second
 	// decideShare is the part of the roll-out's time after which a version without evidence
-	// against it is taken: after the half in which sessions must stay on the old one, and with
+	// against it is accepted: after the half in which sessions must stay on the old one, and with
 	// time left to record the decision while the platform is slow.
 	decideShare = 0.65
 	// completeShare is the part after which a roll-out is completed even if sessions are still
 	// moving. A fifth of the time remains for an order that arrived late or a slow platform.
 	completeShare = 0.8
-	// giveUpShare is the part after which a version that is not proved good is taken back.
+	// giveUpShare is the part after which a version that has not been found good is rolled back.
 	giveUpShare = 0.85
-	// minAnswers is the number of answers of the new version needed to take it: a version that
-	// fails a third gives fifteen good answers in a row once in 400 trials.
+	// minAnswers is the number of answers of the new version needed to accept it: a version
+	// that fails a third gives fifteen good answers in a row once in 400 trials.
 	minAnswers = 15
 	// maxBadAnswers limits the bad answers of the new version, whatever else fails. Operators
 	// limit them to fifty, and VMs learn of each other's counts with a delay.
@@ -40,7 +40,7 @@
 	toleratedRateDifference = 0.05
 )
 
-// takeBackEvidence is the log evidence at which the new version is taken back at once: one
+// takeBackEvidence is the log evidence at which the new version is rolled back at once: one
 // false alarm in 50 trials.
 var takeBackEvidence = math.Log(50)
 
@@ -51,9 +51,9 @@
 const (
 	// Undecided continues the trial.
 	Undecided Decision = iota
-	// Take uses the new version for all requests.
+	// Take accepts the new version, which then serves all requests.
 	Take
-	// TakeBack uses the new version for no request.
+	// TakeBack rolls the new version back, which then serves no request.
 	TakeBack
 )
 
@@ -63,7 +63,7 @@
 	From rollout.Tally `cbor:"1,keyasint"`
 	// To counts the answers of the new version.
 	To rollout.Tally `cbor:"2,keyasint"`
-	// Worse says that the VM found the new version worse; all VMs then take it back. The VMs'
+	// Worse says that the VM found the new version worse; all VMs then roll it back. The VMs'
 	// sums differ for moments, and a VM that alone kept sessions from the new version would
 	// change the version of sessions that use it.
 	Worse bool `cbor:"3,keyasint,omitempty"`
@@ -156,7 +156,7 @@
 	return !t.worse && now-t.began >= t.session+startDelay
 }
 
-// MayBeTaken reports whether some VM may have taken the new version by now.
+// MayBeTaken reports whether some VM may have accepted the new version by now.
 func (t *Trial) MayBeTaken(now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/policy/versiontest/datacentre.go
+++ b/policy/versiontest/datacentre.go
@@ -26,7 +26,7 @@
 	// reportInterval is the period of the load reports that the VMs choose by.
 	reportInterval = 2 * time.Second
 	// deadline is the wait after which a caller with a customer at the counter
-	// gives up.
+	// disconnects.
 	deadline = time.Second
 	// returnTime is how long callers are observed after the return.
 	returnTime = 2 * time.Minute
--- a/policy/watching/peers.go
+++ b/policy/watching/peers.go
@@ -75,8 +75,8 @@
 		}
 	}
 	if len(out) == 0 && (rank >= watchers+backupWatchers || len(place.Fallback) > 0) {
-		// With no source this VM would watch the platform, which only the watchers and their
-		// backups do.
+		// With no source this VM would watch the platform, which only the watchers and the
+		// backup watchers do.
 		out = []string{slices.MinFunc(peers, func(a, b string) int { return cmp.Compare(p.failed[a].until, p.failed[b].until) })}
 	}
 	return out
--- a/router/dispatch/line.go
+++ b/router/dispatch/line.go
@@ -24,7 +24,7 @@
 	endpointCount int
 }
 
-// waiter is a request in a queue. Its channel has room for the one grant that it
+// waiter is a request in a queue. Its channel has capacity for the one grant that it
 // receives, so sending never blocks.
 type waiter struct {
 	need *Need
--- a/router/entry/chat.go
+++ b/router/entry/chat.go
@@ -65,7 +65,7 @@
 }
 
 // maxBuffered bounds the bodies held at once, in bytes: a quarter of the 256 MB that a
-// node may use. Queues bound the number of their items; maxBuffered bounds the memory of
+// VM may use. Queues bound the number of their items; maxBuffered bounds the memory of
 // their bodies.
 const maxBuffered = 64 << 20
 
--- a/router/entry/once.go
+++ b/router/entry/once.go
@@ -92,9 +92,9 @@
 }
 
 // storeDownRefusal refuses a keyed request while its claim can't be written. This send
-// did not run, but an earlier send of the key may have: a caller that is told "not run"
+// did not run, but an earlier send of the key may have: a caller that receives "not run"
 // might then perform the action a second time elsewhere. Only a caller that declares its
-// first send is told "not run".
+// first send receives "not run".
 func storeDownRefusal(c *Caller) *refusal.Refusal {
 	r := refusal.New(http.StatusServiceUnavailable, refusal.StoreDown, "the claim can't be recorded now; this send was not run").WithRetryAfter(storeRetryDelay)
 	if !c.FirstSend {
--- a/router/vm/upkeep.go
+++ b/router/vm/upkeep.go
@@ -9,7 +9,7 @@
 
 const (
 	// trimInterval and trimAge control when the tables of shards that this VM has not
-	// used lately are freed, for example after another VM took a shard over. A VM that
+	// used recently are freed, for example after another VM took a shard over. A VM that
 	// needs a freed table reads it again.
 	trimInterval = time.Minute
 	trimAge      = 10 * time.Minute
