--- a/fleet/peer/trial.go
+++ b/fleet/peer/trial.go
@@ -14,11 +14,11 @@
 )
 
 // trialValidity is how long the certificates of a trial set are valid: long enough for
-// a trial, and too short to remain in production unnoticed.
+// a trial deployment, and too short to remain in production unnoticed.
 const trialValidity = 7 * 24 * time.Hour
 
-// TrialSet is a CA with a certificate and key per VM, in PEM, for trials and tests. The
-// CA's key is discarded, so no further VM can be added.
+// TrialSet is a CA with a certificate and key per VM, in PEM, for trial
+// deployments and tests. The CA's key is discarded, so no further VM can be added.
 type TrialSet struct {
 	// CA is the CA's certificate.
 	CA []byte
--- a/fleet/slot/share.go
+++ b/fleet/slot/share.go
@@ -90,7 +90,7 @@
 
 // Propose returns the epoch to write in place of the newest known one, and the object
 // version that the write must replace. Only members may propose, or any process once
-// all members are gone for good; confirmation during an outage depends on this. From
+// all members have ended for good; confirmation during an outage depends on this. From
 // then on this process does not confirm the old epoch.
 func (t *Table) Propose(members []Process, gone func(Process) bool) (Epoch, int64, bool) {
 	if !t.mayPropose(gone) {
@@ -102,8 +102,8 @@
 	return t.epoch.next(members), t.version, true
 }
 
-// mayPropose reports whether this process is a member, or all members are gone for
-// good.
+// mayPropose reports whether this process is a member, or all members have ended
+// for good.
 func (t *Table) mayPropose(gone func(Process) bool) bool {
 	for _, p := range t.epoch.Members {
 		if p == t.self {
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -288,8 +288,8 @@
 // A roll-out's order is written before its endpoints start, but orders and endpoints are
 // different kinds, and a VM may learn of the endpoints first, by 0.9 to 1.7 s after the
 // platform dropped its history. Requests sent to the new endpoints in that time, half of all,
-// reached endpoints that were still warming up, and a good version was rolled back for slow
-// answers; a bad version would get more than its share. A version whose entries were all
+// would reach endpoints that are still warming up, and a good version would be rolled back for
+// slow answers; a bad version would get more than its share. A version whose entries were all
 // created after the revision up to which roll-outs are known therefore gets no requests until
 // later roll-outs are known, as long as another version is available.
 func (v *View) OnlyVersion(service string) string {
--- a/policy/loadtest/scenario.go
+++ b/policy/loadtest/scenario.go
@@ -32,7 +32,7 @@
 	// SlowEndpoints and FailingEndpoints are the numbers of endpoints that are slow
 	// or answer with errors between From and To.
 	SlowEndpoints, FailingEndpoints int
-	// PoolDown takes all endpoints down at From and brings them back in cold start
+	// PoolDown takes all endpoints down at From and returns them in cold start
 	// at To. PoolRestart restarts them all at From, in cold start after a
 	// millisecond. PoolFailing makes all endpoints answer with errors between From
 	// and To.
