--- a/cmd/goldcrest-node/process_test.go
+++ b/cmd/goldcrest-node/process_test.go
@@ -54,8 +54,8 @@
 	metrics   int    // port of the metrics
 	mu        sync.Mutex
 	lines     []string
-	firstLine int // index of the current process's first line in lines
-	done      chan error
+	firstLine int        // index of the current process's first line in lines
+	done      chan error // receives the result of each process that ends
 }
 
 const (
@@ -211,7 +211,8 @@
 }
 
 // newTestbed returns a platform store with a service that has one endpoint. The endpoint
-// sends on entered for each request and answers once release is closed.
+// sends on entered for each request, unless entered is full, and answers once release is
+// closed.
 func newTestbed(t *testing.T) (store *platformtest.Store, address string, entered chan struct{}, release chan struct{}) {
 	t.Helper()
 	store, address = platformtest.New(t)
@@ -220,7 +221,7 @@
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case entered <- struct{}{}:
-		default: // entered is full because the test no longer reads it
+		default: // drops the signal, because entered is full and the test no longer reads it
 		}
 		select {
 		case <-release:
@@ -314,8 +315,8 @@
 }
 
 // Guards against VMs that keep accepting keys while the platform's store is unavailable,
-// because they confirm the configuration to each other. A key may be revoked meanwhile, so
-// no key may be accepted for longer than the bound. The VMs must serve again afterwards.
+// because they confirm the configuration to each other. A key may be revoked meanwhile, so no
+// key may be accepted for longer than bounds.revocationMs. The VMs must serve again afterwards.
 func TestNoKeyIsHonouredWithoutTheStore(t *testing.T) {
 	store, address, _, release := newTestbed(t)
 	close(release)
@@ -340,8 +341,8 @@
 	a.awaitReady(true)
 }
 
-// Guards against settings without a required field that don't end the start with one line
-// that names the field.
+// Guards against a process that starts although its settings lack a required field, or that
+// doesn't report the field in exactly one line.
 func TestWrongSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.conf")
 	require.NoError(t, os.WriteFile(path, []byte("nodeName=x\nzone=a\n"), 0o600))
--- a/cmd/goldcrest-node/soak_test.go
+++ b/cmd/goldcrest-node/soak_test.go
@@ -230,7 +230,8 @@
 	})
 }
 
-func (w *soakTestbed) serverEntry(name, address, state string) {
+// putServer writes the store's entry of an endpoint.
+func (w *soakTestbed) putServer(name, address, state string) {
 	w.store.Put("servers", name, map[string]any{
 		"service": "s", "address": address, "zone": "a", "version": "v1", "slots": 8, "state": state,
 	})
@@ -284,18 +285,18 @@
 			f()
 		}()
 	}
-	signal := func(end syscall.Signal, respawn bool) {
+	signal := func(sig syscall.Signal, restart bool) {
 		background(func() {
 			signalLocks[i].Lock()
 			defer signalLocks[i].Unlock()
 			started := v.hasStarted()
-			_ = v.cmd.Process.Signal(end)
-			if end == syscall.SIGHUP {
+			_ = v.cmd.Process.Signal(sig)
+			if sig == syscall.SIGHUP {
 				w.checkSurvivesHangup(v, started)
-			} else if respawn {
+			} else if restart {
 				<-v.done
 				v.startProcess()
-			} else if end == syscall.SIGSTOP {
+			} else if sig == syscall.SIGSTOP {
 				time.Sleep(duration)
 				_ = v.cmd.Process.Signal(syscall.SIGCONT)
 			}
@@ -353,8 +354,9 @@
 	}
 }
 
-// runSoak runs one seed. It injects faults under traffic, then checks that all VMs serve
-// again without faults, that a drained endpoint gets no requests, and all records.
+// runSoak runs one seed. It injects faults under traffic. After the faults it checks that all
+// VMs serve again, that a drained endpoint gets no requests, and that the records of all
+// requests are consistent.
 func runSoak(t *testing.T, seed uint64, length time.Duration) {
 	store, address := platformtest.New(t)
 	w := &soakTestbed{
@@ -368,7 +370,7 @@
 		e := httptest.NewServer(w.endpoint(name))
 		t.Cleanup(func() { e.CloseClientConnections(); e.Close() })
 		addresses[name] = e.Listener.Addr().String()
-		w.serverEntry(name, addresses[name], "ready")
+		w.putServer(name, addresses[name], "ready")
 	}
 	var signalLocks []*sync.Mutex
 	for i := range 3 {
@@ -404,8 +406,9 @@
 	w.checkRecords(seed)
 }
 
-// checkRecovery ends the endpoints' faults and waits until all requests succeed. Then it
-// drains an endpoint and waits until the endpoint gets no requests.
+// checkRecovery ends the endpoints' faults, after all other faults have ended, and waits
+// until 30 requests in a row succeed. Then it drains an endpoint and waits until 30 requests
+// in a row don't reach the endpoint.
 func (w *soakTestbed) checkRecovery(addresses map[string]string) {
 	w.mu.Lock()
 	w.faultsActive = false
@@ -421,7 +424,7 @@
 		}
 		return true
 	}, 40*time.Second, 50*time.Millisecond, "not all requests are served after the faults have ended")
-	w.serverEntry("e0", addresses["e0"], "draining")
+	w.putServer("e0", addresses["e0"], "draining")
 	require.Eventually(w.t, func() bool {
 		before := w.requestCount("e0")
 		for range 30 {
--- a/cmd/goldcrest/app.go
+++ b/cmd/goldcrest/app.go
@@ -114,8 +114,8 @@
 // errNoVM is returned by a command that needs a VM when none is given.
 var errNoVM = config.Problems{{Field: "--vm", Got: "nothing", Want: "the operator address of at least one VM, or GOLDCREST_VM"}}
 
-// printError prints an error. For a problem from a VM it also prints whether the
-// change was refused and the object's current state, if the VM sent them.
+// printError prints an error. For a problem from a VM it also prints that the change was
+// not accepted, if this is certain, and the object's current state, if the VM sent it.
 func (a *app) printError(err error) {
 	var p *operator.Problem
 	if !errors.As(err, &p) {
--- a/cmd/goldcrest/process_test.go
+++ b/cmd/goldcrest/process_test.go
@@ -113,10 +113,10 @@
 	}
 }
 
-// Guards against an accepted change that a VM lacks once it runs again, and against a
-// change that is accepted or reported wrongly while the platform is down. Of three VMs
-// in three data centres, one is suspended while a version is withdrawn, and one is
-// killed and replaced while a data centre is drained.
+// Guards against an accepted change that a resumed or replaced VM lacks, and against a
+// change that is accepted, or whose outcome is reported wrongly, while the platform is
+// down. Of three VMs in three data centres, one is suspended while a version is withdrawn,
+// and one is killed and replaced while a data centre is drained.
 func TestOperatorsDayOverProcesses(t *testing.T) {
 	t.Setenv("GOLDCREST_KEY", "trial-operator")
 	b := &testbed{t: t, store: store.New()}
--- a/cmd/processtest/caller_test.go
+++ b/cmd/processtest/caller_test.go
@@ -15,7 +15,8 @@
 )
 
 // caller is a client of a client account. It sends its requests to one VM and continues
-// at the next VM when a connection breaks or an answer is cut.
+// at the next VM when a connection breaks, an answer is cut, or a VM refuses a stream and
+// asks for a retry.
 type caller struct {
 	vms     []*process
 	current int
@@ -61,8 +62,8 @@
 }
 
 // streamAnswer streams one answer up to its end marker. It resumes a cut answer with the
-// resume token. It returns at the first refusal without a Retry-After header, because a
-// retry of such a request doesn't help.
+// resume token. It retries a refusal with a Retry-After header at the next VM, and returns
+// at the first refusal without one, because a retry of such a request doesn't help.
 func (c *caller) streamAnswer(ctx context.Context, model, prompt string, tokens int) outcome {
 	header := http.Header{}
 	var o outcome
@@ -95,7 +96,9 @@
 	return o
 }
 
-// readEvents reads events up to the end of the connection and adds their text to o.
+// readEvents reads events up to the end of the connection and adds their text to o. It sets
+// o.complete at the end marker, and X-Resume-From in header to the id of the last event with
+// text.
 func (c *caller) readEvents(body io.ReadCloser, header http.Header, o *outcome) {
 	defer body.Close()
 	lines := bufio.NewScanner(body)
--- a/cmd/processtest/kill_test.go
+++ b/cmd/processtest/kill_test.go
@@ -90,10 +90,10 @@
 	require.LessOrEqual(t, bills["conector"], int64(len(booked)))
 }
 
-// Guards against a VM that resumes after a suspension and starts work on an outdated
-// configuration. A VM is suspended while an order of it is at the service, a version is
-// withdrawn, and requests for the version queue up at the VM's port. After the bound of
-// the configuration's age the VM must start none of them, and the order is booked once.
+// Guards against a resumed VM that starts work on an outdated configuration. A VM with an order
+// at the service is suspended, a version is withdrawn, and requests for it queue up at the VM's
+// port. Resumed after the bound of the configuration's age, the VM must start none of them,
+// although its own configuration still allows the version. The order must be booked once.
 func TestFrozenVM(t *testing.T) {
 	t.Parallel()
 	const late = 10
--- a/cmd/processtest/measure_test.go
+++ b/cmd/processtest/measure_test.go
@@ -152,16 +152,16 @@
 	}
 	i := slices.IndexFunc(w.vms, func(vm *process) bool { return vm != w.vms[0] && listsAddress(w.vms[0], vm) })
 	killed := w.vms[i]
-	var naming []*process
+	var listing []*process
 	for _, vm := range w.vms {
 		if vm != killed && listsAddress(vm, killed) {
-			naming = append(naming, vm)
+			listing = append(listing, vm)
 		}
 	}
 	killed.kill()
 	start := time.Now()
 	var all []time.Duration
-	for _, vm := range naming {
+	for _, vm := range listing {
 		measureUntil(t, start, func() bool { return !listsAddress(vm, killed) })
 		all = append(all, time.Since(start))
 	}
--- a/cmd/processtest/outage_test.go
+++ b/cmd/processtest/outage_test.go
@@ -19,7 +19,7 @@
 func (w *testbed) setOutage(down bool) { w.setFaults(w.platform, store.FaultRequest{Down: down}) }
 
 // startTraffic starts callers that send requests to the VMs until stop is called. The
-// test fails if an answer is incomplete.
+// test fails if a request is refused or its answer is incomplete.
 func (w *testbed) startTraffic(ctx context.Context, callers int) (clients []*caller, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
@@ -41,10 +41,10 @@
 	}
 }
 
-// Guards against a platform outage that stops repeatable work, or in which an order is
-// dispatched without a claim and runs twice. Orders must be refused at once with a
-// Retry-After, and as "not run" only on the first send. A VM that starts in the outage
-// must get its configuration from its peers; without peers it must not be ready.
+// Guards against an outage that stops repeatable work, or in which an order is dispatched
+// without a claim, so that it runs twice. Orders must be refused with a Retry-After, as "not
+// run" only if the caller states a first send, and must run once afterwards. A VM that starts
+// in the outage gets the configuration from its peers; without peers it must not be ready.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	w := newTestbed(t, 3, 2)
--- a/cmd/processtest/process_test.go
+++ b/cmd/processtest/process_test.go
@@ -37,7 +37,7 @@
 	}())
 }
 
-// testTimeout limits each wait, so that a test can't hang.
+// testTimeout ends a wait that would otherwise hang. It is not a bound that a test checks.
 const testTimeout = 60 * time.Second
 
 // waitUntil polls until reached returns true. The test fails after testTimeout.
