--- a/policy/sizing/load_test.go
+++ b/policy/sizing/load_test.go
@@ -41,11 +41,10 @@
 	poorWorth, lateWorth = 0.05, 0.1
 )
 
-// simulate sends 20 s of prompts of widely differing sizes to engines that read one prompt
-// after another, by the smallest model and, if the rule escalates, by the largest. It returns
-// the mean worth of the answers. Answers take longer the more slots are in use, and a request
-// waits for a slot. load is the utilisation of the engines if all weak answers were escalated.
-// With crash, answers that are incomplete at the end are lost.
+// simulate sends 20 s of prompts of widely differing sizes to engines that read one prompt after another, by
+// the smallest model and, if the rule escalates, by the largest. It returns the mean worth of the answers.
+// Answers take longer the more slots are in use, and a request waits for a slot. load is the utilisation of
+// the engines if all weak answers were escalated. With crash, answers that are incomplete at the end are lost.
 func simulate(load float64, crash bool, slots int, escalates escalationRule) float64 {
 	r := rand.New(rand.NewPCG(11, 3))
 	const meanTokens = 5.0
@@ -112,11 +111,10 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Guards against escalation that delays other requests, from idle to fourfold overload, with
-// and without a crash. Escalating always makes nearly all answers late under overload; slots
-// alone miss queues of large prompts and keep weak answers that had time. The wait alone is
-// best without a crash; with the slots more answers are complete in one, and none of these
-// cases is worse than by slots alone.
+// Guards against escalation that delays other requests, from idle to fourfold overload, with and without
+// a crash. Escalating always makes nearly all answers late under overload; slots alone miss queues of
+// large prompts and keep weak answers that had time. The wait alone is best without a crash; with the
+// slots more answers are complete in one, and none of these cases is worse than by slots alone.
 func TestWorthUnderLoad(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		for _, load := range []float64{0.4, 0.8, 1.5, 2, 4} {
